--- a/consensus/include/trestlepost/consensus/file_storage.h
+++ b/consensus/include/trestlepost/consensus/file_storage.h
@@ -1,4 +1,5 @@
-// Storage in a folder: a snapshot file and a log of checksummed records.
+// Storage of a replica in a folder: a snapshot file and a log of checksummed
+// records.
 #pragma once
 
 #include <cstddef>
@@ -11,17 +12,18 @@
 
 namespace trestlepost::consensus {
 
-/// The system calls that can fail under load; tests make them fail.
+/// System calls that can fail at run time; tests override them to inject
+/// failures.
 class file_operations {
  public:
   virtual ~file_operations() = default;
-  /// As write(2).
+  /// See write(2).
   virtual std::ptrdiff_t write(int fd, const char* data, std::size_t n);
-  /// As fdatasync(2).
+  /// See fdatasync(2).
   virtual int sync(int fd);
 };
 
-/// An open file descriptor that closes itself.
+/// Owns a file descriptor and closes it.
 class unique_fd {
  public:
   explicit unique_fd(int fd = -1) : fd_(fd) {}
@@ -35,21 +37,25 @@
   int fd_;
 };
 
-/// Replaces a file so that a crash leaves the old one or the new one: writes
-/// aside, syncs, renames, syncs the folder.
+/// Replaces a file atomically: writes a temporary file, syncs and renames it,
+/// and syncs the folder. After a crash the folder holds either the old or the
+/// new file.
 result<void> replace_file(const std::filesystem::path& folder,
                           const std::string& name, std::string_view data,
                           file_operations& operations);
 result<void> replace_file(const std::filesystem::path& folder,
                           const std::string& name, std::string_view data);
 
-/// The identity of a data folder: drawn when the folder is first used.
+/// Returns the incarnation that identifies a data folder; draws and stores it
+/// on first use.
 result<std::uint64_t> load_or_create_incarnation(
     const std::filesystem::path& folder, random_source& random);
 
-/// Locks `folder` against a second process for as long as the result lives.
+/// Locks `folder` against other processes until the returned descriptor is
+/// closed.
 result<unique_fd> lock_folder(const std::filesystem::path& folder);
 
+/// Storage in a folder, which must not be used by another object or process.
 class file_storage final : public storage {
  public:
   explicit file_storage(std::filesystem::path folder,
@@ -61,7 +67,7 @@
   result<void> compact(const snapshot& base, const hard_state& hard,
                        const std::vector<entry>& entries) override;
 
-  /// Bytes of records that the last `load` cut off as a torn tail.
+  /// Bytes of an incomplete last record that `load` has truncated.
   std::size_t torn_bytes() const { return torn_bytes_; }
 
  private:
--- a/consensus/include/trestlepost/consensus/group_growth.h
+++ b/consensus/include/trestlepost/consensus/group_growth.h
@@ -1,5 +1,6 @@
-// Growth of a group from its first seed: who asks to join, where the members
-// listen, and from when on the group may acknowledge changes.
+// Founding of a consensus group: accepts the nodes that ask to join, records
+// the members' addresses, and decides when the group has enough voters to
+// acknowledge changes.
 #pragma once
 
 #include <chrono>
@@ -12,35 +13,40 @@
 
 namespace trestlepost::consensus {
 
-/// The replicas that a group needs to bear `losses` of them at once.
+/// Voters that a group needs to tolerate the loss of `losses` of them at once.
 constexpr std::size_t voters_to_bear(std::size_t losses) {
   return 2 * losses + 1;
 }
 
-/// Decides for the replica of a group_host; it sends nothing itself.
+/// Decisions about joins and addresses for the replica of a `group_host`. Sends
+/// no messages itself.
 class group_growth {
  public:
-  /// `heard_from` keeps the address from which each node wrote last.
+  /// `heard_from` maps each node to the sender address of its last message; it
+  /// must outlive this object.
   explicit group_growth(std::map<std::string, std::string>& heard_from)
       : heard_from_(heard_from) {}
 
-  /// Tells whether this replica leads now, and where it listens; call it at
-  /// every tick.
+  /// Updates whether this replica leads, and its own address. Call it at every
+  /// tick.
   void observe(group_host& host, monotonic_time now, bool leads,
                const std::string& own_address);
-  /// A message of `from` came from `address`; empty when it does not say.
+  /// Records that a message of `from` came from `address`; does nothing if
+  /// `address` is empty.
   void heard(group_host& host, monotonic_time now, const replica_id& from,
              const std::string& address);
-  /// Where a node listens, as far as its messages or the members tell.
+  /// Last known address of a node, from its messages or else from the member
+  /// list; empty if unknown.
   std::string address_of(const group_host& host, const std::string& node) const;
-  /// False when this replica does not lead: pass the question on.
+  /// Returns false if this replica does not lead; the request must then be
+  /// forwarded to the leader.
   bool handle_join(group_host& host, monotonic_time now,
                    const replica_id& joiner, const std::string& address);
-  /// Whether a group without any acknowledged change has grown to
-  /// `least_voters`, or has waited for them long enough.
+  /// Whether a group that has acknowledged no change yet has `least_voters`
+  /// voters, or has waited for them up to the time limit.
   bool has_grown(const group_host& host, monotonic_time now,
                  std::size_t least_voters) const;
-  /// Since when this replica leads without a break.
+  /// Start of this replica's current leadership.
   std::optional<monotonic_time> leading_since() const { return leading_since_; }
 
  private:
--- a/consensus/include/trestlepost/consensus/group_host.h
+++ b/consensus/include/trestlepost/consensus/group_host.h
@@ -1,5 +1,5 @@
-// Runs one replica: writes before it sends, applies what is committed, keeps
-// the group's voters what they should be, and trims the log.
+// Runs one replica: stores its writes before it sends its messages, applies
+// committed entries, adjusts the group's members and compacts the log.
 #pragma once
 
 #include <deque>
@@ -14,7 +14,8 @@
 
 namespace trestlepost::consensus {
 
-/// What the log's commands act on. `apply` must depend on nothing else.
+/// The replicated state. `apply` must depend only on the entry and the current
+/// state.
 class state_machine {
  public:
   virtual ~state_machine() = default;
@@ -23,7 +24,7 @@
   virtual void load(std::string_view data) = 0;
 };
 
-/// Carries messages to other replicas; may lose them.
+/// Sends messages to other replicas. Messages may be lost.
 class message_sink {
  public:
   virtual ~message_sink() = default;
@@ -34,38 +35,40 @@
   replica_options replica;
   /// Entries applied between two snapshots.
   std::size_t snapshot_every = 1000;
-  /// Bytes of commands applied between two snapshots, or twice the size of the
-  /// last one if that is more: bounds the log's file, and the time that a start
-  /// takes to apply it, when single commands are large.
+  /// Command bytes applied between two snapshots. If twice the size of the last
+  /// snapshot is more, that counts instead. Limits the log's file size and the
+  /// time to replay it at a start when single commands are large.
   std::size_t snapshot_bytes = 1024UL * 1024;
-  /// A turn ends with the command that passes so many bytes applied: a replica
-  /// that applies a long log after a start goes on to hear its peers and to
-  /// keep its lease.
+  /// Command bytes applied in one event loop iteration; the command that
+  /// exceeds the limit is still applied. A replica that replays a long log
+  /// after a start must keep receiving messages and renewing its lease.
   std::size_t apply_bytes = 64UL * 1024;
-  /// A learner that was silent for so long is not made a voter.
+  /// A learner that has sent nothing for this time is not promoted to voter.
   std::chrono::milliseconds member_silence{3000};
 };
 
-/// Membership that follows the nodes which ask to join, instead of a list.
+/// Membership that consists of the nodes that ask to join, instead of a
+/// configured list.
 struct open_membership {
-  /// Voters that the group keeps although they are silent; only beyond these
-  /// a silent voter is taken for replaced and leaves.
+  /// Voters that the group keeps even if they are unreachable. An unreachable
+  /// voter is removed only while this many others are live.
   std::size_t least_voters = 1;
-  /// A voter that was silent for so long counts as gone.
+  /// A member that has sent nothing for this time may be removed.
   std::chrono::milliseconds gone_after{4000};
 };
 
+/// A replica with its storage, its state machine and its message channel.
 class group_host {
  public:
   group_host(replica_id self, group_options options,
              std::unique_ptr<storage> store, state_machine& machine,
              message_sink& sink, random_source& random);
 
-  /// Loads what is stored; call once before anything else.
+  /// Loads the stored state. Must be called before any other function.
   result<void> start(monotonic_time now);
 
-  /// Begins anew from `store` after a failure of the storage, as a restart of
-  /// the process would. What was not durable was never acknowledged.
+  /// Starts again with `store` after a storage failure, as a restart of the
+  /// process would. Entries that were not durable have never been acknowledged.
   result<void> restart(monotonic_time now, std::unique_ptr<storage> store);
 
   result<void> found(monotonic_time now, std::string group_id,
@@ -78,33 +81,33 @@
   result<void> request_read(monotonic_time now, std::uint64_t token,
                             std::function<void()> ready);
 
-  /// A node that is no member yet asks to become one.
-  /// `address` is where it listens, for groups with open membership.
+  /// Handles the request of a node that is not a member to become one.
+  /// `address` is where it listens; it is used in groups with open membership.
   void handle_join(monotonic_time now, const replica_id& joiner,
                    const std::string& address = "");
 
-  /// The nodes that should be voters. The leader brings the group there, one
-  /// committed change at a time.
+  /// Names the nodes that should be voters. The leader changes the group one
+  /// committed member change at a time.
   void set_desired_voters(std::vector<std::string> nodes);
 
-  /// Makes every node that asks a voter, in place of a fixed list.
+  /// Makes every node that asks to join a voter, instead of a fixed list.
   void set_open_membership(open_membership options) { open_ = options; }
-  /// The member with this node's name that was heard last, or none.
+  /// The member of this node that replied last, or null.
   const member* find_member(const std::string& node) const;
-  /// Whether a member has not become a voter yet.
+  /// Whether any member is not a voter yet.
   bool has_learners() const;
 
-  /// Nodes that may follow as learners without ever voting.
+  /// Nodes that may join as learners but are never promoted to voters.
   void set_admitted_learners(std::vector<std::string> nodes);
 
   const replica& core() const { return *replica_; }
-  /// Leads, is sure of it at `now`, and has applied all that leaders before it
-  /// may have acknowledged.
+  /// Whether this replica leads, a majority has confirmed it recently enough,
+  /// and it has applied all entries that earlier leaders may have acknowledged.
   bool holds_lease(monotonic_time now) const;
   bool is_member() const;
-  /// True when this replica should ask the leader to take it in: it is no
-  /// member, or no leader writes to it. An own member list proves nothing, for
-  /// the entry that added this replica may have been overwritten.
+  /// Whether this replica should ask the leader to add it: it is not a member,
+  /// or no leader sends to it. That its own list names it is not enough,
+  /// because the entry that added it may have been overwritten.
   bool needs_join(monotonic_time now) const;
   const std::optional<error>& failure() const { return failure_; }
   log_index applied() const { return applied_; }
@@ -115,14 +118,14 @@
     std::function<void()> ready;
   };
 
-  /// A read that waits until the state machine has come to `index`.
+  /// A read that becomes ready when the state machine has applied `index`.
   struct confirmed_read {
     log_index index = 0;
     std::function<void()> ready;
   };
 
   void drain();
-  /// Writes and sends what the replica gives out.
+  /// Stores the pending writes and sends the pending messages of the replica.
   void take_output();
   void queue_committed(const output& out);
   void apply_some();
--- a/consensus/include/trestlepost/consensus/replica.h
+++ b/consensus/include/trestlepost/consensus/replica.h
@@ -1,8 +1,8 @@
-// One replica of a replicated log, without I/O: messages and ticks go in;
-// messages, writes and committed entries come out.
+// One replica of a replicated log (Raft), without I/O: it takes messages and
+// ticks, and produces messages, writes and committed entries.
 //
 // The owner must make the writes of an `output` durable before it sends the
-// messages of the same output, and then call `written`.
+// messages of the same output, and must then call `written`.
 #pragma once
 
 #include <chrono>
@@ -22,23 +22,26 @@
 enum class role { follower, candidate, leader };
 
 struct replica_options {
-  /// A follower that hears nothing for one to two of these stands for leader.
+  /// A follower without messages from a leader starts an election after one to
+  /// two of these timeouts.
   std::chrono::milliseconds election_timeout{1000};
   std::chrono::milliseconds heartbeat_interval{200};
-  /// Share of the election timeout by which a lease ends early, in percent: it
-  /// covers clocks that run at different speeds.
+  /// Percentage of the election timeout by which a lease ends early, to allow
+  /// for clocks that run at different speeds.
   int drift_margin_percent = 10;
-  /// Entries sent in one message at most.
+  /// Maximum number of entries in one message.
   std::size_t batch_limit = 256;
-  /// Bytes of entries sent in one message, unless a single one is longer. Links
-  /// take 64 MB, and packing 1 MB holds a leader up for some 15 ms.
+  /// Maximum bytes of entries in one message, except for a single longer entry.
+  /// Links accept messages of 64 MB, but encoding 1 MB blocks a leader for
+  /// about 15 ms.
   std::size_t batch_bytes = 1024UL * 1024;
-  /// A mechanism left out on purpose, for tests that show what catches it.
+  /// Disable a safety mechanism, so that tests can show that its absence is
+  /// detected.
   bool skip_log_check = false;
   bool learners_vote = false;
 };
 
-/// What a data folder holds when a replica starts.
+/// State that a replica loads from its data folder at startup.
 struct durable_state {
   hard_state hard;
   snapshot base;
@@ -57,6 +60,7 @@
   }
 };
 
+/// Results of a replica's last calls, for its owner to process.
 struct output {
   write_batch writes;
   std::vector<message> messages;
@@ -70,61 +74,64 @@
   replica(replica_id self, replica_options options, durable_state state,
           random_source& random, monotonic_time now);
 
-  /// Starts a new group with `members`. Only for an empty replica.
+  /// Starts a new group with `members`. This replica must be empty.
   result<void> found(std::string group_id, member_list members);
 
-  /// Goes on alone after the majority is lost for good, as a new group that
-  /// holds all that this replica's log holds. What only the lost replicas
-  /// held is gone; replicas of the former group are not heard any more.
+  /// Continues as the only voter of a new group after the majority is lost for
+  /// good. The new group has all entries of this replica's log; entries that
+  /// only lost replicas held are lost. Messages of replicas of the former group
+  /// are ignored from then on.
   result<void> recover_alone(std::string group_id);
 
   void tick(monotonic_time now);
   void receive(monotonic_time now, const message& in);
 
-  /// Appends a command on the leader; it is accepted once it is committed.
+  /// Appends a command on the leader. It is accepted once it is committed.
   result<log_index> propose(entry_type type, std::string data);
 
-  /// Proposes one added, removed, promoted or demoted member.
+  /// Proposes a change by one member: added, removed, promoted or demoted.
   result<log_index> propose_members(const member_list& members);
 
-  /// Asks to be told, by `reads_ready`, when a read is sure to see every entry
-  /// committed before the call.
+  /// Requests a linearizable read: `reads_ready` contains `token` once a
+  /// majority has confirmed that this replica still leads.
   result<void> request_read(std::uint64_t token);
 
-  /// True when anything waits in `take`.
+  /// Whether `take` would return anything.
   bool has_output() const;
   output take();
 
-  /// Tells that the writes of the last `take` are durable.
+  /// Confirms that the writes of the last `take` are durable.
   void written();
 
-  /// Replaces the log up to `index` by a snapshot of the state machine.
-  /// Returns the snapshot to store.
+  /// Replaces the log up to `index` by a snapshot with the state machine's
+  /// state `data`. Returns the snapshot to store.
   snapshot compact(log_index index, std::string data);
 
   role current_role() const { return role_; }
   bool is_leader() const { return role_ == role::leader; }
-  /// Leader, and sure of it at `now` by the votes of a majority.
+  /// Whether this replica leads and a majority has confirmed it recently enough
+  /// that no other replica can lead at `now`.
   bool holds_lease(monotonic_time now) const;
   term_number term() const { return hard_.term; }
   log_index commit_index() const { return commit_; }
   log_index last_index() const;
   log_index first_index() const { return base_.index + 1; }
-  /// True once an entry of the leader's own term is committed.
+  /// Whether an entry of the leader's own term is committed.
   bool leads_settled() const;
   const std::string& group_id() const { return hard_.group_id; }
   const std::optional<replica_id>& voted_for() const { return hard_.voted_for; }
   const replica_id& self() const { return self_; }
   const member_list& members() const { return members_; }
   std::optional<replica_id> leader() const { return leader_; }
-  /// Whether `id` has all that is committed (leader only).
+  /// Whether `id` has all committed entries. Only valid on the leader.
   bool caught_up(const replica_id& id) const;
-  /// Time of the last reply of `id` (leader only).
+  /// Time of the last reply of `id`. Only valid on the leader.
   std::optional<monotonic_time> last_heard(const replica_id& id) const;
-  /// Since when this leader writes to `id`; now for strangers (leader only).
+  /// Since when this leader replicates to `id`; the current time if it does
+  /// not. Only valid on the leader.
   monotonic_time known_since(const replica_id& id) const;
   bool members_change_pending() const;
-  /// When a leader last wrote to this replica, or its start.
+  /// Time of the last message from a leader, or of the start.
   monotonic_time leader_heard_at() const { return leader_heard_at_; }
   const std::vector<entry>& entries() const { return log_; }
 
@@ -134,14 +141,14 @@
     log_index match = 0;
     std::uint64_t acked_round = 0;
     std::optional<monotonic_time> heard_at;
-    monotonic_time known_since;  // to this leader
+    monotonic_time known_since;  // when this leader began to replicate to it
     monotonic_time retry_at;
     bool probing = true;
-    /// While probing: what was sent last begins here, and is not sent again
-    /// before `probe_again_at`.
+    /// First index of the last entries sent while probing. They are not sent
+    /// again before `probe_again_at`.
     log_index probed_from = 0;
     monotonic_time probe_again_at;
-    /// The entry that made it a member, when this leader wrote that entry.
+    /// Index of the entry that added this member, if this leader appended it.
     log_index admitted_at = 0;
   };
   struct round_start {
@@ -170,20 +177,21 @@
   bool may_grant(const vote_request& body) const;
   bool leader_is_fresh() const;
   void reset_election_deadline();
-  /// After a start no leader may be there: voters then stand in the order of
-  /// the member list and not by chance, which would often make two of them
-  /// stand at once.
+  /// After a start there may be no leader. Voters then start elections in the
+  /// order of the member list, because with random deadlines two of them would
+  /// often start one at the same time.
   void set_first_election_deadline();
-  /// Until this replica stands again after it stood, or after it told another
-  /// that it may: half a timeout to three quarters. A pre-vote moves no term,
-  /// so that it may be repeated sooner than a follower stands: peers that
-  /// started later than this replica refuse the first one, and two that stand
-  /// at once split the vote.
+  /// Sets the time of the next election attempt after an attempt of this
+  /// replica, or after it has granted a pre-vote: half to three quarters of the
+  /// election timeout. A pre-vote does not change the term, so it may be
+  /// repeated sooner than a follower's timeout. Repetition is needed when peers
+  /// that started later reject the first pre-vote, or when two candidates split
+  /// the vote.
   void set_candidate_deadline();
-  /// `candidate` may stand: this replica does not, for a while, so that the few
-  /// that are left do not split their votes. It does so once until the next
-  /// term or word of a leader: one whose links are cut one way asks for ever
-  /// and never wins.
+  /// Delays this replica's own election because it granted a pre-vote to
+  /// `candidate`, so that the few remaining voters do not split their votes.
+  /// This happens only once until the next term or message of a leader: a
+  /// candidate whose links fail in one direction keeps asking and never wins.
   void give_way_to(const replica_id& candidate);
 
   void append(entry_type type, std::string data);
@@ -193,14 +201,15 @@
   void start_round();
   void replicate_to(const replica_id& to, bool even_if_empty);
   bool awaits_admission(const replica_id& id, const progress& peer) const;
-  /// Greets the members whose admission was not committed at `before`.
+  /// Sends the first message to members whose addition was committed after
+  /// index `before`.
   void write_to_admitted(log_index before);
   void send_append(const replica_id& to, progress& peer);
   void add_entries(append_request& body, progress& peer);
-  /// The last entry of a message that begins at `first`.
+  /// Last index of the message that begins at `first`.
   log_index end_of_batch(log_index first) const;
-  /// Whether what the follower lacks was sent a moment ago. A follower that
-  /// takes long over it must not be sent more of the same.
+  /// Whether the entries that the follower lacks were sent recently. A follower
+  /// that takes long to process them must not be sent the same entries again.
   bool awaits_probe(const progress& peer) const;
   void send_snapshot(const replica_id& to, progress& peer);
   void reply_append(const message& in, bool accepted, log_index match,
@@ -226,12 +235,12 @@
   monotonic_time now_;
 
   hard_state hard_;
-  snapshot base_;  // data is kept too, to send it to followers
+  snapshot base_;  // includes the data, to send it to followers
   std::vector<entry> log_;
   member_list members_;
   log_index members_index_ = 0;
   log_index commit_ = 0;
-  log_index handed_out_ = 0;  // committed entries given to the owner
+  log_index handed_out_ = 0;  // last committed index passed to the owner
   log_index durable_ = 0;
   log_index durable_after_write_ = 0;
 
--- a/consensus/include/trestlepost/consensus/storage.h
+++ b/consensus/include/trestlepost/consensus/storage.h
@@ -1,4 +1,4 @@
-// Where a replica keeps what must survive a restart.
+// Interface of a replica's durable storage.
 #pragma once
 
 #include <vector>
@@ -7,25 +7,25 @@
 
 namespace trestlepost::consensus {
 
-/// Durable storage of one replica. After any failure every later call fails
-/// too: a failed sync says nothing about what reached the disk.
+/// Durable storage of one replica. After a failure all later calls fail too,
+/// because a failed sync leaves it unknown which data reached the disk.
 class storage {
  public:
   virtual ~storage() = default;
 
-  /// Reads what earlier runs left; called once, first.
+  /// Reads the stored state. Must be called once, before any other function.
   virtual result<durable_state> load() = 0;
 
   /// Makes the batch durable before it returns.
   virtual result<void> save(const write_batch& batch) = 0;
 
-  /// Replaces all that is stored by a snapshot and the entries after it.
+  /// Replaces all stored data by a snapshot and the entries after it.
   virtual result<void> compact(const snapshot& base, const hard_state& hard,
                                const std::vector<entry>& entries) = 0;
 };
 
-/// For nodes without a disk: nothing survives a restart, so each start must
-/// use a new incarnation.
+/// Storage for nodes without a disk. Nothing survives a restart, so each start
+/// must use a new incarnation.
 class memory_storage final : public storage {
  public:
   result<durable_state> load() override { return durable_state{}; }
--- a/consensus/include/trestlepost/consensus/types.h
+++ b/consensus/include/trestlepost/consensus/types.h
@@ -1,4 +1,5 @@
-// The data of the replicated log: replicas, entries, snapshots, messages.
+// Types of the replicated log: replicas, entries, snapshots and messages, and
+// their JSON encoding.
 #pragma once
 
 #include <compare>
@@ -15,8 +16,8 @@
 using log_index = std::uint64_t;
 using term_number = std::uint64_t;
 
-/// A voter or learner. The incarnation is drawn when a data folder is created,
-/// so a node that lost its disk is a different replica.
+/// Identifies a voter or learner. The incarnation is drawn when a data folder
+/// is created, so a node that lost its disk returns as a different replica.
 struct replica_id {
   std::string node;
   std::uint64_t incarnation = 0;
@@ -24,10 +25,13 @@
   auto operator<=>(const replica_id&) const = default;
 };
 
+/// A replica of a group, as a voter or as a learner, which only receives the
+/// log.
 struct member {
   replica_id id;
   bool voter = false;
-  /// The peers' address, where members are not listed in the settings.
+  /// Address for peers. Set only in groups whose members are not listed in the
+  /// settings.
   std::string address{};
 
   bool operator==(const member&) const = default;
@@ -47,7 +51,7 @@
   bool operator==(const entry&) const = default;
 };
 
-/// The state that stands for all entries up to `index`.
+/// The state after all entries up to and including `index`.
 struct snapshot {
   log_index index = 0;
   term_number term = 0;
@@ -55,7 +59,7 @@
   std::string data;
 };
 
-/// What a replica must remember across restarts besides its log.
+/// State that a replica must keep across restarts in addition to its log.
 struct hard_state {
   term_number term = 0;
   std::optional<replica_id> voted_for;
@@ -75,8 +79,8 @@
   bool granted = false;
 };
 
-/// `round` numbers the leader's rounds; the reply returns it, which confirms
-/// that the leader led when it sent the round.
+/// `round` is the leader's round number. The reply returns it, which confirms
+/// that the sender still led when it sent the round.
 struct append_request {
   log_index previous_index = 0;
   term_number previous_term = 0;
@@ -87,7 +91,7 @@
 
 struct append_reply {
   bool accepted = false;
-  log_index match = 0;  // on refusal: the last index that may match
+  log_index match = 0;  // if not accepted: the last index that may match
   std::uint64_t round = 0;
 };
 
@@ -120,7 +124,7 @@
 hard_state hard_state_from(const json& value);
 json to_json(const message& value);
 
-/// A message as a peer sent it; damaged input is an error, never a guess.
+/// Decodes a message of a peer; returns an error if it is invalid.
 result<message> message_from(const json& value);
 
 }  // namespace trestlepost::consensus
--- a/consensus/src/file_storage.cc
+++ b/consensus/src/file_storage.cc
@@ -23,7 +23,7 @@
 constexpr char lock_name[] = "lock";
 constexpr mode_t file_mode = 0600;
 
-// Each record: magic, length, checksum of the payload, payload.
+// Record format: magic, payload length, payload checksum, payload.
 constexpr std::uint32_t record_magic = 0x31505254;  // "TRP1"
 constexpr std::size_t header_size = 16;
 constexpr std::uint32_t largest_record = 1U << 30;
@@ -45,7 +45,8 @@
   return out + text;
 }
 
-/// The payload of the record at `at`, or nothing when none is whole there.
+/// Returns the payload of the record at offset `at`, or nothing if there is no
+/// complete record.
 std::optional<std::string_view> record_at(std::string_view data,
                                           std::size_t at) {
   if (data.size() - at < header_size) return std::nullopt;
@@ -94,7 +95,8 @@
   while (!entries.empty() && entries.back().index >= from) entries.pop_back();
 }
 
-/// False when the record does not follow what was read before it.
+/// Applies a record to `state`. Returns false if the record does not continue
+/// the records before it.
 bool replay(const json& record, durable_state& state) {
   if (record.isMember("batch")) {
     const json& all = record["batch"];
@@ -173,12 +175,12 @@
 }
 
 result<void> file_storage::write_all(int fd, std::string_view data) {
-  if (!write_fully(*operations_, fd, data)) return failed("a write failed");
+  if (!write_fully(*operations_, fd, data)) return failed("a log write failed");
   return {};
 }
 
 result<void> file_storage::sync(int fd) {
-  if (operations_->sync(fd) != 0) return failed("a sync failed");
+  if (operations_->sync(fd) != 0) return failed("a log sync failed");
   return {};
 }
 
@@ -245,7 +247,7 @@
   }
   std::error_code ec;
   std::filesystem::resize_file(path, at, ec);
-  if (ec) return failed("cannot cut the torn tail");
+  if (ec) return failed("cannot truncate the incomplete last record");
   return {};
 }
 
@@ -261,7 +263,8 @@
 
 result<void> file_storage::save(const write_batch& batch) {
   if (failed_) {
-    return fail(error_kind::storage_failed, "an earlier write failed",
+    return fail(error_kind::storage_failed,
+                "an earlier write to the data folder failed",
                 "free or replace the disk, then restart this node");
   }
   if (batch.hard) hard_ = *batch.hard;
@@ -273,8 +276,9 @@
   }
   for (const entry& it : batch.entries) records.append(entry_record(it));
   if (records.empty()) return {};
-  // One record for all: whatever a loss of power leaves of an unsynced write,
-  // no whole record follows a torn one, which would look like damage.
+  // One record for the whole batch: after a power loss during an unsynced write
+  // no complete record can follow an incomplete one, which `load` would report
+  // as damage.
   json whole;
   whole["batch"] = std::move(records);
   result<void> done = write_all(log_.get(), make_record(whole));
@@ -285,11 +289,12 @@
 result<void> file_storage::compact(const snapshot& base, const hard_state& hard,
                                    const std::vector<entry>& entries) {
   if (failed_) {
-    return fail(error_kind::storage_failed, "an earlier write failed",
+    return fail(error_kind::storage_failed,
+                "an earlier write to the data folder failed",
                 "free or replace the disk, then restart this node");
   }
-  // The snapshot first: a crash in between leaves entries that it covers,
-  // which `load` passes over.
+  // The snapshot is replaced first. After a crash in between, the log still has
+  // entries that the snapshot covers; `load` skips these.
   result<void> done = replace(snapshot_name, make_record(to_json(base)));
   if (!done) return done;
   return replace_log(hard, entries);
--- a/consensus/src/group_growth.cc
+++ b/consensus/src/group_growth.cc
@@ -7,8 +7,9 @@
 
 using std::chrono::milliseconds;
 
-// A founder waits so long for more replicas than it needs, and for those it
-// needs; then it goes on with those there are.
+// A founding leader that has enough voters waits until no node has asked to
+// join for `quiet_founding`. Without enough voters it continues after
+// `longest_founding` with those that have joined.
 constexpr milliseconds quiet_founding{1000};
 constexpr milliseconds longest_founding{6000};
 
@@ -33,7 +34,8 @@
       members.begin(), members.end(), [&id, &address](const member& it) {
         return it.id == id && !it.address.empty() && it.address != address;
       });
-  // What only processes know would be gone once all of them had stopped.
+  // Stores the new address in the member list; otherwise it would be lost when
+  // all processes stop.
   if (moved) host.handle_join(now, id, address);
 }
 
@@ -55,7 +57,7 @@
 bool group_growth::handle_join(group_host& host, monotonic_time now,
                                const replica_id& joiner,
                                const std::string& address) {
-  // A former machine of this name may have written from elsewhere.
+  // An earlier machine of this name may have sent from another address.
   if (!address.empty()) heard_from_[joiner.node] = address;
   if (!host.core().is_leader()) return false;
   last_join_heard_ = now;
@@ -65,7 +67,8 @@
 
 bool group_growth::has_grown(const group_host& host, monotonic_time now,
                              std::size_t least_voters) const {
-  // It leads since less than a tick: nobody can have joined yet.
+  // This replica has led for less than one tick, so no node can have joined
+  // yet.
   if (!leading_since_) return false;
   if (now >= *leading_since_ + longest_founding) return true;
   const member_list& members = host.core().members();
--- a/consensus/src/group_host.cc
+++ b/consensus/src/group_host.cc
@@ -207,8 +207,9 @@
 
 bool group_host::ready_to_vote(monotonic_time now,
                                const member& learner) const {
-  // Beside the lost incarnation that it succeeds it would add a vote without
-  // adding one that can be given: four voters of which two are one VM.
+  // While the previous incarnation of this node is a voter, promoting the new
+  // one would enlarge the quorum without adding a reachable voter: two of four
+  // voters would be the same VM.
   if (has_voter_of(learner.id.node)) return false;
   const std::optional<monotonic_time> heard = replica_->last_heard(learner.id);
   return heard && *heard + options_.member_silence > now &&
@@ -216,14 +217,14 @@
 }
 
 bool group_host::is_replaced(monotonic_time now, const member& it) const {
-  // A newcomer has time to answer: the last word of the incarnation that it
-  // succeeds is older than the admission, but not than silence.
+  // Leaves a new member time for its first reply: until then, the incarnation
+  // that it replaces has the later reply and would look like the newer one.
   const bool heard = replica_->last_heard(it.id).has_value();
   const monotonic_time patience =
       replica_->known_since(it.id) + options_.member_silence;
   if (!heard && now < patience) return false;
   const member_list& members = replica_->members();
-  // A node comes back under a new incarnation only when the old one is gone.
+  // A node returns with a new incarnation only after the old one has stopped.
   return std::any_of(
       members.begin(), members.end(), [this, &it](const member& other) {
         const bool same_node = other.id.node == it.id.node;
@@ -242,7 +243,7 @@
 bool group_host::is_surplus(monotonic_time now, const member& it) const {
   if (!is_silent(now, it, open_->gone_after)) return false;
   if (!it.voter) return true;
-  // Its place is free only when enough others are known to live.
+  // An unreachable voter is removed only if enough other voters are live.
   std::size_t live = 0;
   for (const member& other : replica_->members()) {
     if (!other.voter || other.id == it.id) continue;
@@ -263,8 +264,8 @@
 
 std::optional<member_list> group_host::next_members(monotonic_time now) const {
   const member_list& members = replica_->members();
-  // Removing first needs no more voters than before; adding first would need
-  // the newcomer besides all that are left.
+  // Removals come first: they need no more voters than before, while an
+  // addition would require the new member besides all remaining ones.
   for (std::size_t i = 0; i < members.size(); ++i) {
     if (!must_leave(now, members[i])) continue;
     member_list next = members;
@@ -298,7 +299,7 @@
   draining_ = true;
   while (!failure_ && replica_->has_output()) take_output();
   if (!failure_) apply_some();
-  // What the state machine caused is written at once.
+  // Writes the output that the state machine has caused in the same iteration.
   while (!failure_ && replica_->has_output()) take_output();
   draining_ = false;
 }
@@ -370,7 +371,7 @@
       bytes_since_snapshot_ >=
       std::max(options_.snapshot_bytes, 2 * last_snapshot_bytes_);
   if (!many && !large) return;
-  // Entries not yet written would be stored twice.
+  // Pending entries would be stored twice: by `compact` and by `save`.
   if (replica_->has_output()) return;
   bytes_since_snapshot_ = 0;
   const snapshot base = replica_->compact(applied_, machine_.save());
--- a/consensus/src/replica.cc
+++ b/consensus/src/replica.cc
@@ -8,9 +8,9 @@
 namespace trestlepost::consensus {
 namespace {
 
-// Voters that start together stand one after the other, so many within an
-// election timeout: the first one's request reaches the others before they
-// stand themselves.
+// The first election deadlines of voters that start at the same time are spaced
+// by the election timeout divided by this number, so that the first candidate's
+// request reaches the others before their own deadlines.
 constexpr int first_places_per_timeout = 5;
 
 }  // namespace
@@ -50,7 +50,7 @@
   writes_.hard = hard_;
   refresh_members();
   election_deadline_ = now_;
-  overdue_ = true;  // nobody else can lead
+  overdue_ = true;  // no other replica can lead
   return {};
 }
 
@@ -61,16 +61,16 @@
   }
   if (leader_is_fresh()) {
     return fail(error_kind::conflict, "the group has a leader",
-                "wait for the lost nodes to be taken in again");
+                "wait until the leader has added the lost nodes again");
   }
   hard_.group_id = std::move(group_id);
   hard_.term += 1;
   hard_.voted_for = self_;
   writes_.hard = hard_;
-  // Alone it is the majority, which commits all that the log holds.
+  // As the only voter it is the majority, so this entry commits the whole log.
   append(entry_type::membership, to_text(to_json(member_list{{self_, true}})));
   election_deadline_ = now_;
-  overdue_ = true;  // nobody else can lead
+  overdue_ = true;  // no other replica can lead
   return {};
 }
 
@@ -86,13 +86,14 @@
     overdue_ = false;
     return;
   }
-  const bool alone = quorum() == 1;  // there is nobody to hear from
+  const bool alone = quorum() == 1;  // there are no peers to wait for
   if (alone || is_overdue_again()) start_pre_vote();
 }
 
 bool replica::is_overdue_again() {
-  // A process that was not scheduled sees its deadline passed before it reads
-  // what arrived meanwhile: that has until the next tick to be read.
+  // A process that was suspended notices the passed deadline before it reads
+  // the messages that arrived in the meantime. It acts on the deadline only at
+  // the second tick, after reading them.
   const bool again = overdue_;
   overdue_ = !again;
   return again;
@@ -112,7 +113,7 @@
 bool replica::accepts(const message& in) {
   if (in.to != self_) return false;
   if (!hard_.group_id.empty()) return in.group_id == hard_.group_id;
-  // An empty replica joins the group that first writes to it.
+  // An empty replica joins the group of the first message it receives.
   return !in.group_id.empty();
 }
 
@@ -120,8 +121,8 @@
   if (in.term <= hard_.term) return;
   const vote_request* request = std::get_if<vote_request>(&in.body);
   if (request != nullptr) {
-    // A vote asked while the leader is fresh must not move the term: a node
-    // that was cut off would depose a working leader.
+    // While a leader is active, a vote request must not raise the term: a node
+    // that was partitioned would depose a working leader.
     if (request->pre_vote || leader_is_fresh()) return;
   }
   const vote_reply* reply = std::get_if<vote_reply>(&in.body);
@@ -227,7 +228,7 @@
 void replica::give_way_to(const replica_id& candidate) {
   if (gave_way_) return;
   if (pre_voting_) {
-    // Of those that stand at once one goes on.
+    // Of several simultaneous candidates only one continues.
     if (self_ < candidate) return;
     role_ = role::follower;
     pre_voting_ = false;
@@ -237,8 +238,8 @@
 }
 
 void replica::handle(const vote_request& body, const message& in) {
-  // The candidate knows whom its members let vote; this replica's own list
-  // may lag behind, and is empty before the first entry.
+  // Whether this replica may vote is decided by the candidate's member list.
+  // Its own list may be outdated, and is empty before the first entry.
   bool granted = may_grant(body) && !leader_is_fresh();
   if (body.pre_vote) {
     granted = granted && in.term > hard_.term;
@@ -331,7 +332,7 @@
 bool replica::holds_lease(monotonic_time now) const {
   if (role_ != role::leader) return false;
   const std::uint64_t confirmed = quorum_round();
-  // The lease counts from when the round was sent, not from its replies.
+  // The lease starts when the round was sent, not when replies arrived.
   for (const round_start& it : rounds_) {
     if (it.round != confirmed) continue;
     const std::chrono::milliseconds lease =
@@ -372,7 +373,7 @@
 }
 
 bool replica::change_is_single(const member_list& next) const {
-  // Quorums of two lists overlap when their voters differ by at most one.
+  // Quorums of two member lists overlap if their voters differ by at most one.
   std::size_t differences = 0;
   for (const member& it : members_) {
     if (!it.voter) continue;
@@ -390,15 +391,15 @@
 
 result<log_index> replica::propose_members(const member_list& members) {
   if (role_ != role::leader) {
-    return fail(error_kind::not_leader, "this replica does not lead",
+    return fail(error_kind::not_leader, "this replica is not the leader",
                 "send the change to the leader");
   }
   if (members_change_pending() || !leads_settled()) {
-    return fail(error_kind::in_progress, "another member change is under way",
+    return fail(error_kind::in_progress, "another member change is in progress",
                 "try again once it is committed");
   }
   if (!change_is_single(members)) {
-    return fail(error_kind::bad_input, "more than one voter would change",
+    return fail(error_kind::bad_input, "the change affects more than one voter",
                 "change one voter at a time");
   }
   append(entry_type::membership, to_text(to_json(members)));
--- a/consensus/src/replication.cc
+++ b/consensus/src/replication.cc
@@ -1,4 +1,4 @@
-// Replication of entries: appends, commits, snapshots, reads.
+// Replication of entries by a replica: appends, commits, snapshots and reads.
 #include <algorithm>
 #include <utility>
 
@@ -22,7 +22,7 @@
 
 result<log_index> replica::propose(entry_type type, std::string data) {
   if (role_ != role::leader) {
-    return fail(error_kind::not_leader, "this replica does not lead",
+    return fail(error_kind::not_leader, "this replica is not the leader",
                 "send the command to the leader");
   }
   append(type, std::move(data));
@@ -83,9 +83,10 @@
 
 bool replica::awaits_admission(const replica_id& id,
                                const progress& peer) const {
-  // The first message binds an empty replica to this group for good. A leader
-  // that has lost its majority without knowing must not bind a newcomer to a
-  // group that can never admit it. A voter's own vote may be needed for that.
+  // The first message binds an empty replica to this group permanently. A
+  // leader that has lost its majority and does not know it yet must not bind a
+  // new node to a group that can never admit it. Voters are exempt, because
+  // their votes may be needed to commit the entry.
   return peer.admitted_at > commit_ && !is_voter(id);
 }
 
@@ -126,7 +127,7 @@
     peer.probed_from = peer.next;
     peer.probe_again_at = now_ + options_.election_timeout;
   } else {
-    // Optimistic: a lost message is found by the refusal of the next one.
+    // Optimistic: if the message is lost, the follower rejects the next one.
     peer.next = end + 1;
   }
 }
@@ -202,8 +203,9 @@
     const log_index before = peer.next;
     peer.next = std::max(peer.match, std::min(body.match, last_index())) + 1;
     const bool needs_snapshot = peer.next <= base_.index;
-    // A refusal that teaches nothing new waits for the next heartbeat, or
-    // doubled messages would multiply; a snapshot waits for its retry time.
+    // A rejection without new information waits for the next heartbeat;
+    // otherwise duplicated messages would multiply. A snapshot waits for its
+    // retry time.
     const bool learned = peer.next < before;
     if (learned && (!needs_snapshot || now_ >= peer.retry_at)) {
       replicate_to(in.from, true);
@@ -226,8 +228,8 @@
   }
   const log_index index = body.state.index;
   if (index <= last_index() && term_at(index) == body.state.term) {
-    // The log holds it already, and may hold acknowledged entries after it:
-    // a late snapshot must not discard them.
+    // The log already contains the snapshot's last entry, and may hold
+    // acknowledged entries after it that a late snapshot must not discard.
     commit_to(index);
     reply_append(in, true, index, body.round);
     return;
@@ -261,7 +263,8 @@
   if (matches.empty()) return;
   std::sort(matches.begin(), matches.end(), std::greater<>());
   const log_index agreed = matches[quorum() - 1];
-  // Only entries of the own term are counted; earlier ones follow with them.
+  // Only entries of the leader's own term are committed by counting; earlier
+  // entries are committed along with them.
   if (agreed <= commit_ || term_at(agreed) != hard_.term) return;
   const log_index before = commit_;
   commit_to(agreed);
@@ -289,7 +292,7 @@
 
 result<void> replica::request_read(std::uint64_t token) {
   if (!leads_settled()) {
-    return fail(error_kind::not_leader, "this replica does not lead",
+    return fail(error_kind::not_leader, "this replica is not the leader",
                 "read from the leader");
   }
   reads_.push_back({token, round_ + 1});
--- a/consensus/src/types.cc
+++ b/consensus/src/types.cc
@@ -54,7 +54,7 @@
   return body;
 }
 
-/// Entries must follow `previous_index` without a gap.
+/// Whether the entries follow `previous_index` without a gap.
 bool consecutive(const append_request& body) {
   log_index expected = body.previous_index;
   for (const entry& it : body.entries) {
@@ -180,7 +180,8 @@
   } else if (type == "append_request") {
     append_request body = append_request_from(value);
     if (!consecutive(body)) {
-      return fail(error_kind::bad_input, "the entries leave a gap",
+      return fail(error_kind::bad_input,
+                  "the entries of an append request are not consecutive",
                   "run one version of trestlepostd on all nodes");
     }
     out.body = std::move(body);
@@ -192,11 +193,12 @@
     out.body = snapshot_request{number_of(value, "round"),
                                 snapshot_from(member_of(value, "state"))};
   } else {
-    return fail(error_kind::bad_input, "unknown consensus message " + type,
+    return fail(error_kind::bad_input, "unknown consensus message type " + type,
                 "run one version of trestlepostd on all nodes");
   }
   if (out.from.node.empty() || out.to.node.empty() || out.group_id.empty()) {
-    return fail(error_kind::bad_input, "the message names no replica",
+    return fail(error_kind::bad_input,
+                "the consensus message has no group, sender or receiver",
                 "run one version of trestlepostd on all nodes");
   }
   return out;
--- a/consensus/test/file_storage-test.cc
+++ b/consensus/test/file_storage-test.cc
@@ -1,3 +1,5 @@
+// Tests that file storage returns what it has made durable after crashes,
+// damage and disk failures.
 #include "trestlepost/consensus/file_storage.h"
 
 #include <gtest/gtest.h>
@@ -80,7 +82,8 @@
     ASSERT_FALSE(state) << at;
     EXPECT_EQ(state.error().kind, error_kind::corrupt);
     EXPECT_NE(state.error().remedy.find("learner"), std::string::npos);
-    EXPECT_EQ(std::filesystem::file_size(log()), size) << "damage was cut off";
+    EXPECT_EQ(std::filesystem::file_size(log()), size)
+        << "the damaged part was truncated";
     std::fstream back(log(), std::ios::binary | std::ios::in | std::ios::out);
     back.seekp(static_cast<std::streamoff>(at));
     back.put(original);
@@ -184,7 +187,8 @@
     }
     ASSERT_TRUE(storage.save(batch));
   }
-  // Power was lost before the sync: the end is there, the start is not.
+  // Simulates a power loss before the sync that kept the end of the write but
+  // not its beginning.
   std::fstream file(log(), std::ios::binary | std::ios::in | std::ios::out);
   file.seekp(static_cast<std::streamoff>(whole));
   file << std::string(40, '\0');
@@ -195,7 +199,7 @@
   EXPECT_EQ(state->entries.size(), 3U);
 }
 
-/// A state machine that counts what it applied.
+/// A state machine that records the applied commands.
 class counting_machine final : public state_machine {
  public:
   void apply(const entry& committed) override {
--- a/consensus/test/group_growth-test.cc
+++ b/consensus/test/group_growth-test.cc
@@ -1,4 +1,5 @@
-// What a growing group knows of its members, and when it may acknowledge.
+// Tests of `group_growth`: the addresses of members, and when a new group may
+// acknowledge changes.
 #include "trestlepost/consensus/group_growth.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +25,7 @@
   void send(const message&) override {}
 };
 
-/// A group of one voter, "a", that leads.
+/// A group whose only voter, "a", leads.
 struct founded_group {
   founded_group() {
     host.set_open_membership({});
--- a/consensus/test/group_host-test.cc
+++ b/consensus/test/group_host-test.cc
@@ -1,5 +1,5 @@
-// A group of hosts that is kept whole by its leader, over a network without
-// loss.
+// Tests that the leader of a group replaces lost members, over a network
+// without message loss.
 #include "trestlepost/consensus/group_host.h"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
     std::unique_ptr<group_host> host;
   };
 
-  /// Founds a group of three voters which `first` leads.
+  /// Founds a group of three voters led by `first`.
   explicit group(const std::string& first, bool open = false) : open_(open) {
     member_list members;
     for (const char* name : {"a", "b", "c"}) {
@@ -49,7 +49,7 @@
     packets_.push_back({out, far ? now_ + way_ : now_});
   }
 
-  /// Messages from and to `name` are under way for so long.
+  /// Delays messages from and to `name` by `way`.
   void set_far(const std::string& name, milliseconds way) {
     far_ = name;
     way_ = way;
@@ -58,7 +58,7 @@
   group_host& host(const std::string& name) { return *nodes_[name].host; }
   monotonic_time now() const { return now_; }
 
-  /// The node comes back with an empty disk, and asks at once to join.
+  /// The node returns with an empty disk and asks to join at once.
   void lose_disk(const std::string& name) {
     node& it = nodes_[name];
     it.host.reset();
@@ -80,7 +80,7 @@
     }
   }
 
-  /// Lets time pass until `holds`, for a bounded time.
+  /// Advances time until `holds` returns true, at most `settling_steps` steps.
   bool run(const std::function<bool()>& holds) {
     for (int i = 0; i < settling_steps; ++i) {
       if (holds()) return true;
@@ -91,8 +91,9 @@
 
   std::size_t members() { return leading()->core().members().size(); }
 
-  /// Whether two incarnations of one node vote: the lost one counts for the
-  /// majority, so that the loss of the other leaves none.
+  /// Whether two incarnations of one node are voters. The lost one counts for
+  /// the quorum but cannot vote, so losing one more voter would cost the
+  /// majority.
   bool has_two_votes_of_a_node() {
     const group_host* leader = leading();
     if (leader == nullptr) return false;
@@ -177,7 +178,8 @@
 }
 
 TEST(group_host_test, a_newcomer_votes_only_once_the_one_it_succeeds_has_left) {
-  // The leader itself is lost, so that the next one never heard it.
+  // The leader itself loses its disk, so the next leader has never received a
+  // reply of the old incarnation.
   group it("b");
   it.lose_disk("b");
   it.start("b");
@@ -189,8 +191,8 @@
   EXPECT_FALSE(two_votes);
 }
 
-/// Whether a node far away is taken in again: it answers only after the near
-/// voter has committed its admission.
+/// Whether a distant node is added again. Its replies arrive after the nearby
+/// voter's reply has committed its addition.
 bool replaces_far_disk(bool open) {
   group it("a", open);
   it.set_far("b", milliseconds(60));
@@ -219,7 +221,7 @@
   group it("c");
   for (const char* name : {"a", "b"}) it.lose_disk(name);
   for (const char* name : {"a", "b"}) it.start(name);
-  // They ask while the survivor has not noticed yet that it is alone.
+  // The nodes ask to join before the survivor has noticed the lost majority.
   ASSERT_TRUE(it.host("c").core().is_leader());
   ASSERT_TRUE(it.run([&] { return !it.host("c").core().is_leader(); }));
   ASSERT_TRUE(it.run(
--- a/consensus/test/log_replay-test.cc
+++ b/consensus/test/log_replay-test.cc
@@ -1,11 +1,10 @@
-// A leader that has just started applies a long log.
+// Tests that a new leader stays responsive while it applies a long log.
 //
-// Seen: after a loss of power of all, control nodes led one after the other,
-// for less than a second each; nothing was confirmed for seconds.
-// How: each new leader applied all that the log held in one turn, 1.4 to 1.7 s
-// for twelve plans of up to 4,000 routes. It heard nobody meanwhile and wrote
-// to nobody, so that others stood, and the next one had the same work before
-// it.
+// Each new leader once applied its whole log in one event loop iteration: 1.4
+// to 1.7 s for twelve plans of up to 4,000 routes. It received and sent no
+// messages in that time, so other nodes started elections and the next leader
+// had the same work to do. After a power loss of all nodes no change was
+// confirmed for seconds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -43,7 +42,7 @@
   void send(const message& /*out*/) override {}
 };
 
-/// The log stays whole: no snapshot takes its place.
+/// Keeps the whole log: no snapshot replaces it.
 group_options without_snapshots() {
   group_options out;
   out.snapshot_bytes = 2 * commands * command_bytes;
--- a/consensus/test/replica-test.cc
+++ b/consensus/test/replica-test.cc
@@ -1,3 +1,5 @@
+// Tests of a single replica: votes, elections, snapshots, and the amount of
+// data that a leader sends.
 #include "trestlepost/consensus/replica.h"
 
 #include <gtest/gtest.h>
@@ -105,14 +107,15 @@
                           append_request{1, 1, 1, 1, {}}};
   it.receive(now, heartbeat);
   it.take();
-  // It is not scheduled for long; heartbeats wait to be read.
+  // The process is suspended while heartbeats wait in its queue.
   it.tick(now += milliseconds(5000));
   EXPECT_EQ(it.current_role(), role::follower);
   EXPECT_EQ(it.leader(), id_b);
   it.receive(now += milliseconds(20), heartbeat);
   it.tick(now += milliseconds(20));
   EXPECT_EQ(it.current_role(), role::follower);
-  // With nothing to read it stands, also if it is seldom scheduled.
+  // Without messages to read it starts an election, even if it is rarely
+  // scheduled.
   it.tick(now += milliseconds(5000));
   it.tick(now += milliseconds(5000));
   EXPECT_EQ(it.current_role(), role::candidate);
@@ -140,7 +143,8 @@
   EXPECT_FALSE(it.is_leader());
 }
 
-/// How long after its start a voter of two asks for the first pre-vote.
+/// Time from its start until a voter of a group of two requests its first
+/// pre-vote.
 milliseconds first_pre_vote(const replica_id& self, std::uint64_t seed) {
   seeded_random random(seed);
   const monotonic_time start;
@@ -178,8 +182,8 @@
 }
 
 TEST(replica_test, a_candidate_that_never_wins_does_not_keep_others_from_it) {
-  // Its requests arrive, but what it is answered does not: links may be cut one
-  // way. It asks again and again.
+  // The candidate's requests arrive but the replies to it do not, as when links
+  // fail in one direction. It keeps asking.
   seeded_random random(1);
   monotonic_time now;
   durable_state state = founded_state();
@@ -200,12 +204,12 @@
     if (stands()) ++rounds;
   }
   EXPECT_GE(rounds, 2);
-  // And one more voter's word then makes it go on.
+  // The pre-vote of one more voter then starts its election.
   it.receive(now, {"group", {"c", 1}, id_b, 2, vote_reply{true, true}});
   EXPECT_EQ(it.term(), 2U);
 }
 
-/// Two of three voters whose leader is lost, with messages that take `way`.
+/// Two of three voters whose leader is lost. Messages take `way`.
 class survivors {
  public:
   explicit survivors(std::uint64_t seed, milliseconds way)
@@ -215,7 +219,7 @@
     for (const replica_id& it : {id_a, id_b}) {
       replicas_.emplace_back(it, options(), state, random_, now_);
     }
-    // Both heard the leader a moment ago.
+    // Both have just received a message from the leader.
     for (replica& it : replicas_) {
       it.receive(now_, {"group", id_lost, it.self(), 1,
                         append_request{1, 1, 1, 1, {}}});
@@ -223,7 +227,7 @@
     }
   }
 
-  /// Time until one of them leads.
+  /// Time until one of the two leads.
   milliseconds time_to_leader() {
     const monotonic_time start = now_;
     while (!replicas_[0].is_leader() && !replicas_[1].is_leader()) step();
@@ -282,7 +286,7 @@
   }
 }
 
-/// Commands that `out` carries to `to`.
+/// Number of commands that `out` sends to `to`.
 std::size_t commands_to(const replica_id& to, const output& out) {
   std::size_t n = 0;
   for (const message& it : out.messages) {
@@ -295,7 +299,7 @@
   return n;
 }
 
-/// The bytes of commands in the longest message of `out`.
+/// Command bytes in the largest message of `out`.
 std::size_t longest_message(const output& out) {
   std::size_t most = 0;
   for (const message& it : out.messages) {
@@ -308,7 +312,8 @@
   return most;
 }
 
-/// A leader of three whose log holds commands that b lacks; c answers.
+/// The leader of three replicas, with commands in its log that b lacks; c
+/// replies.
 class leader_with_a_log {
  public:
   leader_with_a_log(std::size_t commands, std::size_t bytes)
@@ -323,7 +328,7 @@
     take();
   }
 
-  /// b has the founding entry only.
+  /// b has only the founding entry.
   output refused_by_b() { return from(id_b, append_reply{false, 1, 0}); }
   output confirmed_by_b() { return from(id_b, append_reply{true, 1, 0}); }
 
@@ -366,21 +371,21 @@
   std::uint64_t round_ = 1;
 };
 
-// A follower that takes long over what it was sent was sent the same again
-// with each heartbeat, and had ever more to do.
+// A follower that took long to process entries was sent the same entries with
+// each heartbeat, which slowed it down further.
 TEST(replica_test, what_a_follower_lacks_goes_out_once_in_an_election_timeout) {
   leader_with_a_log it(5, 10);
   std::size_t sent = commands_to(id_b, it.refused_by_b());
   EXPECT_EQ(sent, 5U);
   for (int beat = 0; beat < 9; ++beat) sent += commands_to(id_b, it.tick());
   EXPECT_EQ(sent, 5U);
-  // It may have been lost.
+  // The first message may have been lost.
   for (int beat = 0; beat < 5; ++beat) sent += commands_to(id_b, it.tick());
   EXPECT_EQ(sent, 10U);
 }
 
-// All that a follower lacked went in one message, too long for a link to take
-// once it passed 64 MB, and seconds of work below that.
+// All entries that a follower lacked used to be sent in one message. Links
+// rejected it above 64 MB, and smaller ones took seconds to process.
 TEST(replica_test, a_long_log_goes_out_in_messages_of_bounded_size) {
   constexpr std::size_t half_limit = 512UL * 1024;
   leader_with_a_log it(6, half_limit);
--- a/consensus/test/simulated_disk.cc
+++ b/consensus/test/simulated_disk.cc
@@ -20,8 +20,8 @@
   for (const entry& it : batch.entries) state.entries.push_back(it);
 }
 
-/// What was written after a save that never reached the disk is cut off, as
-/// the file storage does.
+/// Truncates entries after a save that never reached the disk, as
+/// `file_storage` does.
 void cut_after_hole(durable_state& state) {
   log_index next = state.base.index + 1;
   const auto hole =
@@ -41,7 +41,8 @@
 result<void> simulated_storage::save(const write_batch& batch) {
   if (batch.empty()) return {};
   if (disk_.crash_before_sync >= 0 && disk_.crash_before_sync-- == 0) {
-    // A torn write: some of the entries reach the disk, unacknowledged.
+    // Simulates a torn write: some entries reach the disk but are not
+    // acknowledged.
     write_batch torn = batch;
     torn.entries.resize(torn.entries.size() / 2);
     if (!torn.base) apply_batch(torn, disk_.state);
--- a/consensus/test/simulated_disk.h
+++ b/consensus/test/simulated_disk.h
@@ -1,4 +1,4 @@
-// A disk in memory that tears writes and dies when a test says so.
+// A simulated disk in memory that can tear writes and crash its node.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +8,20 @@
 
 namespace trestlepost::consensus::test {
 
-/// Thrown by a simulated disk at the moment at which its node dies.
+/// Thrown by a simulated disk when its node crashes.
 struct crash_signal {};
 
-/// What one node's disk holds. `skip_sync` breaks it on purpose.
+/// Disk contents of one node. `skip_sync` injects a defect: saves do not reach
+/// the disk.
 struct simulated_disk {
   std::uint64_t incarnation = 1;
   durable_state state;
   bool skip_sync = false;
-  int crash_before_sync = -1;  // counts down saves; -1 is never
+  int crash_before_sync = -1;  // number of saves before the crash; -1: never
   int crash_after_sync = -1;
 };
 
-/// A storage on a simulated disk, which can fail before or after a sync.
+/// Storage on a simulated disk that can crash its node before or after a sync.
 class simulated_storage final : public storage {
  public:
   explicit simulated_storage(simulated_disk& disk) : disk_(disk) {}
--- a/consensus/test/simulation-test.cc
+++ b/consensus/test/simulation-test.cc
@@ -1,3 +1,5 @@
+// Simulates groups under random faults. Also injects a defect in each safety
+// mechanism and checks that the simulation detects it.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -9,7 +11,7 @@
 
 constexpr std::uint64_t seeds_for_broken_mechanisms = 150;
 
-/// The first seed at which the broken group is caught, or 0.
+/// First seed whose simulation detects the injected defect, or 0.
 std::uint64_t first_caught(simulation_options options) {
   for (std::uint64_t seed = 1; seed <= seeds_for_broken_mechanisms; ++seed) {
     options.seed = seed;
--- a/consensus/test/simulation.cc
+++ b/consensus/test/simulation.cc
@@ -170,8 +170,8 @@
 void simulation::record_apply(const node& by, const entry& committed) {
   const auto [it, added] = applied_.emplace(committed.index, committed.data);
   if (!added && it->second != committed.data) {
-    outcome_.violations.push_back("node " + by.name + " applied another " +
-                                  "entry at " +
+    outcome_.violations.push_back("node " + by.name + " applied a different " +
+                                  "entry at index " +
                                   std::to_string(committed.index));
   }
   if (added) {
@@ -305,7 +305,8 @@
   int leases = 0;
   for (const std::unique_ptr<node>& it : nodes_) {
     if (it->machine.went_back) {
-      outcome_.violations.push_back("node " + it->name + " went back");
+      outcome_.violations.push_back("node " + it->name +
+                                    " lost applied commands");
       it->machine.went_back = false;
     }
     if (!it->host || !it->host->core().is_leader()) continue;
--- a/consensus/test/simulation.h
+++ b/consensus/test/simulation.h
@@ -1,5 +1,5 @@
-// A group of replicas over a simulated network and simulated disks, inside one
-// test process. All faults come from one seed.
+// Deterministic simulation of a group of replicas on a simulated network and
+// simulated disks. All faults derive from one seed.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
   replica_options replica;
   bool skip_sync = false;
   bool lose_disks = true;
-  bool reuse_incarnation = false;  // a lost disk comes back under its old name
+  bool reuse_incarnation = false;  // a lost disk keeps its incarnation
 };
 
 struct simulation_outcome {
@@ -27,7 +27,8 @@
   bool converged = false;
 };
 
-/// Runs a schedule of faults, then heals everything and waits for agreement.
+/// Runs a random schedule of faults, then ends all faults and waits until the
+/// replicas agree.
 simulation_outcome simulate(const simulation_options& options);
 
 }  // namespace trestlepost::consensus::test
--- a/membership/include/trestlepost/membership/cached_prefix.h
+++ b/membership/include/trestlepost/membership/cached_prefix.h
@@ -1,4 +1,5 @@
-// Beginnings of prompts that model endpoints keep, as gateways tell each other.
+// Prompt prefixes that model endpoints have cached, and their JSON encoding in
+// messages between gateways.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,8 @@
 
 namespace trestlepost::membership {
 
-/// A run of prompt tokens; prompts that begin alike share their first ones.
+/// A run of prompt tokens. Prompts with a common beginning share their first
+/// sections.
 struct prompt_section {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
@@ -17,7 +19,8 @@
   bool operator==(const prompt_section&) const = default;
 };
 
-/// Shared sections, in order, that an endpoint was sent and so has cached.
+/// The shared sections of a prompt, in order, that an endpoint was sent and so
+/// has cached.
 struct cached_prefix {
   std::string endpoint;
   std::vector<prompt_section> sections;
@@ -25,12 +28,11 @@
   bool operator==(const cached_prefix&) const = default;
 };
 
-/// `["endpoint", id, tokens, id, tokens, ...]`.
+/// Encodes as `["endpoint", id, tokens, id, tokens, ...]`.
 json to_json(const cached_prefix& value);
-/// What does not read as a section ends the prefix.
+/// The prefix ends before the first section that can't be decoded.
 cached_prefix cached_prefix_from(const json& value);
 
-/// A list of them.
 json to_json(const std::vector<cached_prefix>& values);
 std::vector<cached_prefix> cached_prefixes_from(const json& value);
 
--- a/membership/include/trestlepost/membership/digest_reader.h
+++ b/membership/include/trestlepost/membership/digest_reader.h
@@ -1,6 +1,6 @@
-// Takes digests into the table of nodes. Digests of several relays merge in
-// any order: news by the sequence of the node's own heartbeat, life by the
-// latest time at which any relay heard it.
+// Applies the digests of relays to the node table. Digests of several relays
+// merge in any order: a node's state comes from its heartbeat with the highest
+// sequence, its last contact is the latest that any relay reports.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,24 @@
 
 namespace trestlepost::membership {
 
-/// What became of a digest that was read.
+/// Result of reading a digest.
 enum class digest_outcome {
   taken,
-  old,     // doubled or overtaken
-  missing  // an earlier one is missing: the next ask brings it
+  old,     // a duplicate, or a newer one was read before
+  missing  // an earlier digest is missing; the next request covers it
 };
 
-/// Keeps, for each relay, the version of its digests that this node has.
+/// Tracks, for each relay, the version of its digests that this node has.
 class digest_reader {
  public:
-  /// `self` is the node that reads.
+  /// Applies a digest to `table`; `self` is the node that reads it.
   digest_outcome take(const region_digest& in, const node_info& self,
                       node_table& table, monotonic_time now);
 
-  /// What to ask of a relay.
+  /// The digest request to send to a relay.
   digest_ask ask_for(const std::string& relay) const;
 
-  /// The sums over most nodes that were told since `oldest`, or null.
+  /// Of the sums received since `oldest`, those over the most nodes; or null.
   const endpoint_sums* best_sums(monotonic_time oldest) const;
 
  private:
@@ -45,8 +45,8 @@
     monotonic_time summed_at;
   };
 
-  /// Whether `in` is newer than what `view` has; a new process of the relay
-  /// begins a new view.
+  /// Returns false if `in` is not newer than what `view` has. A restart of the
+  /// relay resets the view.
   static bool begin(relay_view& view, const region_digest& in);
 
   std::map<std::string, relay_view> relays_;
--- a/membership/include/trestlepost/membership/digest_writer.h
+++ b/membership/include/trestlepost/membership/digest_writer.h
@@ -1,4 +1,4 @@
-// Decides, on a relay, what a digest tells each receiver.
+// Builds, on a relay, the digests for each receiver.
 #pragma once
 
 #include <chrono>
@@ -13,24 +13,25 @@
 
 namespace trestlepost::membership {
 
-/// Numbers the changes of its region's nodes, so that each receiver is told
-/// only those after the last version that it has.
+/// Assigns version numbers to changes of nodes, so that a digest contains only
+/// the changes after the version that its receiver has.
 class digest_writer {
  public:
-  /// `life` differs for each start of the process.
+  /// `life` identifies this process; it differs for each start.
   digest_writer(const node_info& self, std::uint64_t life)
       : relay_(self.name), region_(self.region), life_(life) {}
 
-  /// Takes in what the table knows at first hand: what other relays of the
-  /// region say is theirs to tell, else a dead node could be kept alive by
-  /// two relays that hear of it from each other.
+  /// Updates the rows from nodes with first-hand contact. What another relay of
+  /// the region has reported is left out: two relays could otherwise keep a
+  /// dead node alive by reporting it to each other.
   void update(const node_table& table, std::chrono::milliseconds late_after,
               monotonic_time now);
 
-  /// The news for one that has what `ask` says; of one region, or of all.
+  /// Builds the digest for a receiver with the state `ask`, for one region or
+  /// for all.
   region_digest next(const digest_ask& ask,
                      const std::optional<std::string>& region);
-  /// The last version that touched a node of `region`.
+  /// The last version that changed a node of `region`.
   std::uint64_t version_of(const std::string& region) const;
   std::uint64_t life() const { return life_; }
 
@@ -42,7 +43,7 @@
     std::chrono::milliseconds age{0};
   };
 
-  /// Gives `it` a new version when `record` differs from what was told.
+  /// Assigns a new version to `it` if `record` differs from the row.
   void update_one(entry& it, const node_record& record, bool gone);
 
   std::string relay_;
--- a/membership/include/trestlepost/membership/directory.h
+++ b/membership/include/trestlepost/membership/directory.h
@@ -1,4 +1,4 @@
-// The entry directory: which nodes a caller should use, best first.
+// The entry directory: ranks the gateways that a caller should connect to.
 #pragma once
 
 #include <chrono>
@@ -10,6 +10,7 @@
 
 namespace trestlepost::membership {
 
+/// An entry: a gateway that accepts callers.
 struct entry_view {
   std::string node;
   std::string address;
@@ -18,60 +19,61 @@
   std::string state;
 };
 
-/// What ranks the entries for one asker.
+/// Criteria by which entries are selected and ranked for one caller.
 struct entry_query {
   std::string near_region;
   std::string near_zone;
-  /// Regions whose entries may take the caller's requests; empty: all.
+  /// Regions whose entries may accept the caller's requests; empty: all.
   std::vector<std::string> allowed_regions;
-  /// The host that the caller will ask for, or empty.
+  /// Host that the caller's requests are for; empty if unknown.
   std::string host{};
 };
 
-/// Where the requests for one host may run.
+/// The regions in which requests for one host may run.
 struct host_regions {
-  std::vector<std::string> homes;  // that some route is bound to
-  bool every_route = false;        // no route may be served elsewhere
-  /// Regions in which nothing is served now: they are evacuated.
+  std::vector<std::string> homes;  // to which some route is bound
+  bool every_route = false;        // every route is bound to them
+  /// Evacuated regions; they serve no requests.
   std::set<std::string> closed{};
 
   /// Whether some request for the host can run in `region`.
   bool may_run_in(const std::string& region) const;
 };
 
-/// Who answers a look-up, and how soon it takes an entry for lost.
+/// The answering node's region, and when an entry counts as silent.
 struct directory_options {
-  /// Region of the directory node, which hears that region's nodes itself.
+  /// Region of the directory node, which receives that region's heartbeats
+  /// itself.
   std::string own_region;
-  /// An entry of the own region that was not heard for so long is left out
-  /// while another entry can take its callers. A caller that opens a
-  /// connection to a VM without power loses a second, and one that waits on
-  /// an open one its whole time, so this is a few heartbeats and well below
-  /// the time after which a node is suspected.
+  /// An entry of the own region without heartbeats for this time is left out
+  /// while another entry can accept its callers. The value is a few heartbeats
+  /// and well below the time to suspect a node, because a failed VM is costly
+  /// for callers: a new connection to it takes a second to fail, and a request
+  /// on an open connection waits for its whole timeout.
   std::chrono::milliseconds silent_after{600};
 };
 
-/// The entries for a caller who may use any of its region.
+/// Returns the entries for a caller, by default all of its region.
 ///
-/// Where that region can't run the host's requests, those of the regions that
-/// can: the way through an entry of its own region costs a round trip between
-/// regions and breaks when these are cut from each other.
+/// If that region can't run the host's requests, returns entries of the regions
+/// that can. A detour through the caller's region would cost a round trip
+/// between regions and fail when the regions are partitioned.
 ///
-/// While no entry of its region is heard, entries of other regions stand in,
-/// those of the homes first; beside them those that only a cut may hide: a
-/// caller drops one that does not answer after its first try. Entries outside
-/// the homes never stand in where every route is bound, nor where the caller's
-/// region only restarts. Of a region of which nothing is known nothing is
-/// told: it may be well.
+/// If no entry of the caller's region is live, entries of other regions replace
+/// them, those of home regions first. Entries that may only be unreachable from
+/// this node are listed as well: a caller drops an entry after the first failed
+/// attempt. Entries outside the home regions are never used if all routes are
+/// bound, nor while the caller's region is only restarting. For a region
+/// without any known node the result is empty, because the region may be
+/// healthy.
 std::vector<entry_view> entries_near(const node_table& table,
                                      const entry_query& query,
                                      const host_regions& host,
                                      const directory_options& options,
                                      monotonic_time now);
 
-/// Ready nodes first, near ones before far ones, less loaded ones before
-/// busier ones; isolated nodes last; draining, starting and silent ones not
-/// at all.
+/// Ranks entries by state (ready before isolated), distance and load. Leaves
+/// out draining, starting and unreachable nodes.
 std::vector<entry_view> rank_entries(const node_table& table,
                                      const entry_query& query,
                                      monotonic_time now);
--- a/membership/include/trestlepost/membership/endpoint_sums.h
+++ b/membership/include/trestlepost/membership/endpoint_sums.h
@@ -1,4 +1,5 @@
-// Sums of what the gateways of a region have under way at each endpoint.
+// Sums of the requests, pending tokens and cached prefixes that the gateways of
+// a region report for each endpoint.
 #pragma once
 
 #include <cstdint>
@@ -17,36 +18,36 @@
 struct endpoint_sums {
   std::uint32_t nodes = 0;
   std::map<std::string, std::uint32_t> in_flight;
-  /// Prompt tokens that wait to be read, by priority.
+  /// Prompt tokens waiting for prefill, by priority.
   std::map<std::string, std::vector<std::uint32_t>> pending;
-  /// Prompt beginnings that endpoints were sent a moment ago.
+  /// Prompt prefixes that endpoints were sent recently.
   std::vector<cached_prefix> cached_prefixes;
 
   bool operator==(const endpoint_sums&) const = default;
 };
 
-/// Adds what one node has under way.
+/// Adds the values of one node.
 void add(endpoint_sums& sums, const heartbeat& in);
 
-/// Takes out what `add` put in.
+/// Removes the values of one node that `add` has added.
 void subtract(endpoint_sums& sums, const heartbeat& in);
 
-/// The sums over the nodes of `region` whose own heartbeats come here.
+/// Sums over the nodes of `region` whose own heartbeats this node receives.
 endpoint_sums sum_of(const node_table& table, const std::string& region,
                      monotonic_time now);
 
-/// The region's sums as they are told to one node: its own share left out.
+/// The sums without the values of `node`, to be sent to that node.
 endpoint_sums without(endpoint_sums sums, const node_table& table,
                       const std::string& node, monotonic_time now);
 
-/// Means of the load of each service over the ready nodes of `region`; the
-/// wait is the least one, as a request is sent to the best gateway.
+/// Mean load of each service over the ready gateways of `region`. The wait is
+/// the shortest one, because a request is sent to the best gateway.
 std::map<std::string, service_load> service_means(const node_table& table,
                                                   const std::string& region,
                                                   monotonic_time now);
 
 json to_json(const endpoint_sums& value);
-/// What does not read as a number counts as 0.
+/// Values that are not numbers count as 0.
 endpoint_sums endpoint_sums_from(const json& value);
 
 }  // namespace trestlepost::membership
--- a/membership/include/trestlepost/membership/endpoint_tracker.h
+++ b/membership/include/trestlepost/membership/endpoint_tracker.h
@@ -1,5 +1,6 @@
-// What this gateway knows of each endpoint of its region: chart state, own
-// requests, reported load, an adaptive limit, and warmth after a return.
+// State of each endpoint of the region as this gateway sees it: chart state,
+// own requests, reported load, an adaptive concurrency limit and the ramp-up
+// after a return.
 #pragma once
 
 #include <chrono>
@@ -20,22 +21,23 @@
 inline constexpr char leaving[] = "leaving";
 }  // namespace endpoint_states
 
+/// The states, events and guards that the code provides to an endpoint chart.
 charts::chart_interface endpoint_chart_interface();
 
 struct endpoint_options {
-  /// Failures in a row after which an endpoint is ejected.
+  /// Consecutive failures after which an endpoint is ejected.
   unsigned failures_to_eject = 3;
   std::chrono::milliseconds first_ejection{1000};
   std::chrono::milliseconds longest_ejection{30'000};
-  /// Time in which a returned endpoint's limit grows to its full size.
+  /// Time in which the limit of a returned endpoint grows to its full value.
   std::chrono::milliseconds ramp{8000};
-  /// Share of a service's endpoints that failures may eject, in percent.
+  /// Percentage of a service's endpoints that may be ejected for failures.
   unsigned most_ejected_percent = 50;
-  /// A load report counts for nothing after this time.
+  /// Time after which a load report is ignored.
   std::chrono::milliseconds report_lifetime{5000};
 };
 
-/// What an endpoint says of itself, as read at `at`.
+/// Load that an endpoint reported at time `at`.
 struct load_report {
   unsigned running = 0;
   unsigned waiting = 0;
@@ -43,25 +45,27 @@
   unsigned own_in_flight_then = 0;
 };
 
-/// One endpoint as routing sees it.
+/// State of one endpoint, as input to routing.
 struct endpoint_view {
   std::string name;
   std::string service;
   std::string address;
   bool usable = false;
   std::string state;
-  double limit = 0;  // requests at once, all gateways together
+  double limit = 0;  // concurrent requests, over all gateways
   unsigned own_in_flight = 0;
   unsigned others_in_flight = 0;
-  double load = 0;  // own plus the best estimate of the others'
+  double load = 0;  // own requests plus the estimate of the others'
 };
 
+/// Tracks the endpoints of a region; counts this gateway's requests and runs
+/// the endpoint chart.
 class endpoint_tracker {
  public:
   endpoint_tracker(charts::chart chart, endpoint_options options)
       : chart_(std::move(chart)), options_(options) {}
 
-  /// Makes the set of known endpoints exactly these.
+  /// Name, address and capacity of an endpoint.
   struct declared_endpoint {
     std::string name;
     std::string service;
@@ -69,6 +73,8 @@
     unsigned slots = 1;
     bool drained = false;
   };
+  /// Replaces the set of known endpoints. Endpoints whose name and address stay
+  /// the same keep their state.
   void declare(const std::vector<declared_endpoint>& endpoints,
                monotonic_time now);
 
@@ -78,8 +84,8 @@
   void request_failed(const std::string& name, monotonic_time now);
   void connection_refused(const std::string& name, monotonic_time now);
   void report(const std::string& name, load_report in);
-  /// The platform's list, by address. An address that it does not name keeps
-  /// its last state: the list lags.
+  /// Updates the endpoints at `address` from the platform's list. Endpoints
+  /// that the list does not contain keep their state, because the list lags.
   void platform_listed(const std::string& address, bool leaving,
                        monotonic_time now);
   void others_in_flight(std::map<std::string, std::uint32_t> by_endpoint);
--- a/membership/include/trestlepost/membership/node_state.h
+++ b/membership/include/trestlepost/membership/node_state.h
@@ -1,4 +1,5 @@
-// This node's own state, by the node chart.
+// State of this node according to the node chart: whether it serves callers,
+// and whether it may exchange requests with other regions.
 #pragma once
 
 #include <chrono>
@@ -10,7 +11,7 @@
 
 namespace trestlepost::membership {
 
-/// States of the node chart that the code asks about.
+/// States of the node chart that the code refers to.
 namespace node_states {
 inline constexpr char starting[] = "starting";
 inline constexpr char ready[] = "ready";
@@ -18,56 +19,61 @@
 inline constexpr char draining[] = "draining";
 }  // namespace node_states
 
-/// The part of a node chart that the code offers.
+/// The states, events and guards that the code provides to a node chart.
 charts::chart_interface node_chart_interface();
 
 struct node_state_options {
-  /// Time for which a confirmation of the configuration holds.
+  /// Time for which a confirmation of the configuration is valid.
   std::chrono::milliseconds config_lease{5000};
-  /// Time to wait for a first confirmation before serving from the stored
-  /// copy, isolated.
+  /// Time to wait for the first confirmation before the node serves from the
+  /// stored copy as isolated.
   std::chrono::milliseconds startup_wait{5000};
-  /// For so long after its start a node is taken to be learning. After kills
-  /// of all nodes a leader confirmed gateways 1.1 to 1.8 s after their start.
+  /// Time after a start in which a node counts as learning. After kills of all
+  /// nodes, gateways were confirmed by a leader 1.1 to 1.8 s after their start.
   std::chrono::milliseconds learning_time{2000};
-  /// After its first confirmation it hears of other regions within this time.
+  /// Time after the first confirmation within which a node learns of other
+  /// regions.
   std::chrono::milliseconds settling_time{500};
-  /// A node whose ticks lie so far apart has stood still: so old is at times
-  /// what it knows of endpoints anyway, by the interval at which it is told.
+  /// A gap of this length between two ticks counts as a suspension of the
+  /// process. After shorter gaps endpoint data is no older than it can be
+  /// between two updates anyway.
   std::chrono::milliseconds standstill{1000};
-  /// Then it waits so long to hear from a leader, and goes on without. An
-  /// answer takes one round trip, 160 ms at most where it was measured; the
-  /// requests that wait have spent a second in its sockets already, and the
-  /// shortest routes allow 1.2 s.
+  /// Time after a suspension in which the node waits for a leader's
+  /// confirmation before it continues without. A confirmation takes one round
+  /// trip, at most 160 ms as measured. Pending requests have already waited a
+  /// second in the node's sockets, and the shortest routes allow 1.2 s.
   std::chrono::milliseconds standstill_wait{250};
 };
 
+/// Runs the node chart on confirmations, ticks and stop orders.
 class node_state {
  public:
   node_state(charts::chart chart, node_state_options options,
              monotonic_time now);
 
-  /// The leader confirmed that the configuration was current at `asked_at`,
-  /// the time at which this node asked.
+  /// A leader has confirmed that the configuration was current at `asked_at`,
+  /// the time at which this node sent its request.
   void confirm(monotonic_time asked_at, monotonic_time now);
   void order_stop();
   void tick(monotonic_time now, bool has_configuration);
 
   const std::string& name() const { return state_; }
   bool is(const char* state) const { return state_ == state; }
-  /// Whether new requests of this node's own callers are taken.
+  /// Whether this node accepts new requests of its own callers.
   bool serves_callers() const;
-  /// Whether requests may cross to or from other regions.
+  /// Whether requests may be exchanged with other regions.
   bool crosses_regions() const { return is(node_states::ready); }
   bool confirmed_at(monotonic_time now) const;
-  /// Whether this node stood still and no leader has confirmed its
-  /// configuration since: what changed meanwhile may still be unread.
+  /// Whether this node was suspended and no leader has confirmed its
+  /// configuration since. Changes made during the suspension may still be
+  /// unread.
   bool is_behind(monotonic_time now) const;
-  /// Whether this node is behind, or started not long ago and no leader has
-  /// confirmed its configuration yet, or only just: what it lacks may come any
+  /// Whether this node is behind, or has started recently and has had no
+  /// leader's confirmation yet or only just. Missing data may arrive at any
   /// moment.
   bool is_learning(monotonic_time now) const;
-  /// As `crosses_regions`, but a node that stops still ends what it has taken.
+  /// As `crosses_regions`, but also lets a stopping node finish its accepted
+  /// requests.
   bool may_cross(monotonic_time now) const {
     return crosses_regions() ||
            (is(node_states::draining) && confirmed_at(now));
@@ -83,7 +89,7 @@
   monotonic_time confirmed_until_;
   std::optional<monotonic_time> first_confirmed_at_;
   std::optional<monotonic_time> last_tick_;
-  std::optional<monotonic_time> resumed_at_;  // until it is confirmed
+  std::optional<monotonic_time> resumed_at_;  // until a leader's confirmation
 };
 
 }  // namespace trestlepost::membership
--- a/membership/include/trestlepost/membership/node_table.h
+++ b/membership/include/trestlepost/membership/node_table.h
@@ -1,4 +1,5 @@
-// The nodes that this node knows, from heartbeats and region summaries.
+// Table of the known nodes, built from heartbeats, region summaries and
+// digests.
 #pragma once
 
 #include <chrono>
@@ -14,7 +15,7 @@
 
 namespace trestlepost::membership {
 
-/// Where a node stands and where it listens. Addresses are "IP:PORT".
+/// Identity, location and addresses of a node. Addresses are "IP:PORT".
 struct node_info {
   std::string name;
   std::uint64_t incarnation = 0;
@@ -35,19 +36,19 @@
   std::uint32_t queued = 0;
   std::uint32_t free_slots = 0;
   std::uint32_t endpoints = 0;  // usable ones
-  /// Expected time in the queue of a request that comes now.
+  /// Expected queueing time of a request that arrives now.
   std::chrono::milliseconds wait{0};
   /// Time between two events of a stream.
   std::chrono::milliseconds event_interval{0};
 };
 
-/// What an endpoint reported to the node that polls it.
+/// Load that an endpoint reported to the node that polls it.
 struct reported_load {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
 };
 
-/// What a node tells the nodes of its region.
+/// State that a node sends periodically to the nodes of its region.
 struct heartbeat {
   node_info node;
   std::uint64_t sequence = 0;
@@ -56,18 +57,18 @@
   std::map<std::string, std::uint32_t> endpoint_in_flight;
   std::map<std::string, service_load> services;
   std::map<std::string, reported_load> reports;
-  /// Prompt tokens that wait to be read at each endpoint, by priority.
+  /// Prompt tokens waiting for prefill at each endpoint, by priority.
   std::map<std::string, std::vector<std::uint32_t>> pending_tokens;
-  /// Prompt beginnings that endpoints were sent a moment ago.
+  /// Prompt prefixes that endpoints were sent recently.
   std::vector<cached_prefix> cached_prefixes;
 };
 
-/// What a relay tells other regions of its own region.
+/// State of a region's nodes that its relay sends to other regions.
 struct region_summary {
   std::string region;
   std::string relay;
   std::uint64_t sequence = 0;
-  std::vector<heartbeat> nodes;  // without endpoint detail
+  std::vector<heartbeat> nodes;  // without endpoint details
 };
 
 json to_json(const node_info& value);
@@ -79,24 +80,28 @@
 json to_json(const region_summary& value);
 region_summary region_summary_from(const json& value);
 
+/// Reachability of a node by the time of its last contact.
 enum class peer_state { live, suspect, dead };
 
+/// Last known state of a node, and when it was received.
 struct node_record {
   heartbeat last;
   monotonic_time heard_at;
-  /// When it was last heard at first hand: by its own word, or by that of a
-  /// relay of its region; not by a digest of another node of this region.
+  /// Last first-hand contact: a heartbeat of the node or, for a node of another
+  /// region, a digest of that region's relay. Digests of other nodes of this
+  /// region do not count.
   std::optional<monotonic_time> told_at{};
-  /// When its own heartbeat, with its loads, was last heard.
+  /// Time of the last heartbeat of the node itself, which carries its loads.
   std::optional<monotonic_time> load_at{};
-  std::uint32_t load = 0;  // requests under way and queued
-  bool by_digest = false;  // the last news came by a digest
+  std::uint32_t load = 0;  // requests in flight and queued
+  bool by_digest = false;  // the last update came from a digest
 };
 
+/// Times without contact after which a node's reachability changes.
 struct suspicion_options {
   std::chrono::milliseconds suspect_after{1500};
   std::chrono::milliseconds dead_after{5000};
-  /// A dead node is forgotten after this time.
+  /// Time without contact after which a dead node is removed.
   std::chrono::milliseconds forget_after{600'000};
 };
 
@@ -106,20 +111,24 @@
  public:
   explicit node_table(suspicion_options options = {}) : options_(options) {}
 
-  /// Takes in a heartbeat; an older one of the same incarnation is ignored.
+  /// Applies a heartbeat; ignores one that is older than the last one of the
+  /// same incarnation.
   void observe(const heartbeat& in, monotonic_time now);
   void observe(const region_summary& in, monotonic_time now);
-  /// A sign of life of a known node without other news; false: not known.
+  /// Records contact with a known node that sent no full heartbeat. Returns
+  /// false if the incarnation is not known.
   bool observe_alive(const std::string& name, std::uint64_t incarnation,
                      std::uint64_t sequence, std::uint64_t revision,
                      monotonic_time now);
-  /// News by a digest, of a node that its relay heard at `heard_at`.
+  /// Applies a digest row of a node; its relay had contact with the node at
+  /// `heard_at`.
   void learn(const digest_row& in, monotonic_time heard_at);
-  /// A relay heard the node at `heard_at`; `first_hand`: a relay of the
-  /// node's region, while this node is of another one.
+  /// Records that a relay had contact with the node at `heard_at`.
+  /// `first_hand`: the relay and the node are in the same region, and this node
+  /// is in another one.
   void refresh(const std::string& name, monotonic_time heard_at,
                bool first_hand);
-  /// The load of another region, as each of its ready gateways has it.
+  /// Sets the service loads of another region at each of its ready gateways.
   void learn_services(const std::string& region,
                       const std::map<std::string, service_load>& loads,
                       monotonic_time now);
@@ -133,17 +142,18 @@
   std::vector<const node_record*> all() const;
   std::vector<const node_record*> live_in(const std::string& region,
                                           monotonic_time now) const;
-  /// The live gateways of the region of `self`, itself left out.
+  /// The live gateways in the region of `self`, without `self`.
   std::vector<const node_record*> other_gateways(const node_info& self,
                                                  monotonic_time now) const;
-  /// As `other_gateways`, with those that are not heard now but not dead: they
-  /// may serve their callers all the same.
+  /// As `other_gateways`, but includes suspect gateways: they may still serve
+  /// their callers.
   std::vector<const node_record*> possible_gateways(const node_info& self,
                                                     monotonic_time now) const;
   std::vector<std::string> regions() const;
 
-  /// The relays among the live nodes of a region, as `rank_relays` orders
-  /// them. Every node of the region computes the same ones.
+  /// The relays among the live nodes of a region, in the order of
+  /// `rank_relays`. All nodes of the region compute the same relays from the
+  /// same table.
   std::vector<const node_record*> relays_of(const std::string& region,
                                             monotonic_time now) const;
 
@@ -153,7 +163,7 @@
   std::map<std::string, monotonic_time> services_learned_;
 };
 
-/// Relays a region has.
+/// Number of relays of a region.
 inline constexpr std::size_t relays_per_region = 2;
 
 }  // namespace trestlepost::membership
--- a/membership/include/trestlepost/membership/region_digest.h
+++ b/membership/include/trestlepost/membership/region_digest.h
@@ -1,7 +1,8 @@
-// What a relay tells: which nodes live, and sums of their loads. A digest
-// names only the nodes whose news is newer than the receiver's last version;
-// all the others are as they were, and heard of not long ago unless it says
-// that they are late. So its length does not grow with the region.
+// The digest that a relay sends: states of nodes and sums of their loads. It
+// contains only nodes that changed after the receiver's last version. All other
+// nodes are unchanged, and the relay had recent contact with them unless they
+// are listed as late. The size of a digest therefore does not grow with the
+// region.
 #pragma once
 
 #include <chrono>
@@ -16,52 +17,54 @@
 
 namespace trestlepost::membership {
 
-/// A region of more nodes than this sends heartbeats to its relays only;
-/// below it, heartbeats from each to each are fresher and as cheap.
+/// In a region with more nodes than this, heartbeats are sent only to the
+/// relays. Below, a full mesh of heartbeats is as cheap and gives fresher data.
 inline constexpr std::size_t largest_mesh = 8;
 
-/// What a node has of a relay's digests; a version of 0 asks for all.
+/// The version of a relay's digests that a node has; version 0 requests all
+/// rows.
 struct digest_ask {
   std::uint64_t life = 0;
   std::uint64_t version = 0;
 };
 
-/// News of one node.
+/// State of one node.
 struct digest_row {
   node_info node;  // only the name, unless `whole`
   bool whole = false;
-  bool gone = false;  // silent for so long that it counts as dead
+  bool gone = false;  // without contact for so long that it counts as dead
   std::string state;
-  std::uint64_t sequence = 0;  // of the heartbeat that brought the news
+  std::uint64_t sequence = 0;  // of the heartbeat with this state
   std::uint64_t revision = 0;
-  std::uint32_t load = 0;  // requests, roughly
+  std::uint32_t load = 0;  // approximate number of requests
 };
 
-/// The load of each service, by its name.
+/// Load by service name.
 using service_loads = std::map<std::string, service_load>;
 
-/// One message of a relay to one receiver.
+/// A message of a relay to one receiver.
 struct region_digest {
   std::string relay;
   std::string region;          // of the relay
   std::uint64_t life = 0;      // of the relay's process
   std::uint64_t sequence = 0;  // of this digest
-  std::uint64_t since = 0;     // all news after this version are in
+  std::uint64_t since = 0;     // contains all changes after this version
   std::uint64_t version = 0;
   std::vector<digest_row> rows;
-  /// The relay heard of each node within this time, except those below.
+  /// The relay had contact with each node within this time, except those in
+  /// `late`.
   std::chrono::milliseconds fresh{0};
   std::map<std::string, std::chrono::milliseconds> late;
   std::map<std::string, service_loads> services;  // by region
-  endpoint_sums sums;  // without the receiver's own share
-  /// What endpoints reported of their load.
+  endpoint_sums sums;  // without the receiver's own values
+  /// Loads that endpoints reported.
   std::map<std::string, reported_load> reports;
 };
 
 json to_json(const digest_ask& value);
 digest_ask digest_ask_from(const json& value);
 json to_json(const region_digest& value);
-/// Refuses a digest that contradicts itself.
+/// Decodes a digest; returns an error if it is invalid or inconsistent.
 result<region_digest> region_digest_from(const json& value);
 
 }  // namespace trestlepost::membership
--- a/membership/include/trestlepost/membership/relay_choice.h
+++ b/membership/include/trestlepost/membership/relay_choice.h
@@ -1,5 +1,5 @@
-// Which nodes of its region a node sends its heartbeats to: the highest by
-// rendezvous hash among those that answer.
+// Chooses the nodes of its region to which a node sends its heartbeats
+// (relays): the highest by rendezvous hash among those that respond.
 #pragma once
 
 #include <chrono>
@@ -13,46 +13,46 @@
 
 namespace trestlepost::membership {
 
-/// A node of the region that may be chosen.
+/// A node of the region that can be a relay.
 struct relay_candidate {
   std::string name;
-  /// Only when there is no other.
+  /// Chosen only if there is no other candidate.
   bool leaving = false;
-  /// A control node: it serves no callers.
+  /// A control node; it serves no callers.
   bool control = false;
 };
 
-/// The relays among `candidates`, the first one first: the highest control
-/// node by rendezvous hash, which has the time, and the highest gateway, as
-/// what strikes one kind seldom strikes the other. Where a kind is missing,
-/// the highest of those left.
+/// Returns the relays, first one first: the control node with the highest
+/// rendezvous score, because control nodes have spare capacity, then the
+/// highest gateway, because a fault rarely affects both kinds. If a kind is
+/// missing, the highest of the remaining candidates takes its place.
 std::vector<std::string> rank_relays(const std::string& region,
                                      std::vector<relay_candidate> candidates);
 
-/// Chooses the relays, and notes which of them answer.
+/// Chooses the relays of this node and tracks which of them respond.
 class relay_choice {
  public:
-  /// `mute_after` without an answer puts a candidate behind all others.
+  /// Candidates without a response for `mute_after` are ranked last.
   std::vector<std::string> choose(const std::string& region,
                                   std::vector<relay_candidate> candidates,
                                   std::chrono::milliseconds mute_after,
                                   monotonic_time now) const;
-  /// A heartbeat was sent to `name`.
+  /// Records that a heartbeat was sent to `name`.
   void asked(const std::string& name, monotonic_time now);
-  /// A digest of `name` came.
+  /// Records that a digest of `name` was received.
   void answered(const std::string& name);
 
  private:
   bool is_mute(const std::string& name, std::chrono::milliseconds mute_after,
                monotonic_time now) const;
 
-  /// Since when a candidate has been asked without an answer.
+  /// Time of the first heartbeat without a response, by candidate.
   std::map<std::string, monotonic_time> asked_since_;
 };
 
-/// Time between two heartbeats of a node in a region of so many: relays of a
-/// large one are spared, but five heartbeats fit into the time after which a
-/// silent node is suspected.
+/// Time between two heartbeats of a node, given the number of nodes in its
+/// region. It grows with the region to limit the load on relays, but five
+/// heartbeats always fit into the time after which a silent node is suspected.
 std::chrono::milliseconds beat_interval(std::chrono::milliseconds base,
                                         std::size_t nodes,
                                         const suspicion_options& suspicion);
--- a/membership/src/digest_reader.cc
+++ b/membership/src/digest_reader.cc
@@ -3,7 +3,7 @@
 namespace trestlepost::membership {
 namespace {
 
-/// When the relay heard of node `name`.
+/// Time of the relay's last contact with node `name`.
 monotonic_time heard_at(const region_digest& in, const std::string& name,
                         monotonic_time now) {
   const auto late = in.late.find(name);
--- a/membership/src/digest_writer.cc
+++ b/membership/src/digest_writer.cc
@@ -8,11 +8,12 @@
 
 using std::chrono::milliseconds;
 
-// A load is told anew when it has changed by so many requests and has doubled
-// or halved: directories order entries by it.
+// A load is sent again if it has changed by at least this many requests and has
+// doubled or halved. Directories rank entries by it.
 constexpr std::uint32_t least_load_change = 4;
 
-/// Whether a change from the load that was `told` is worth telling.
+/// Whether the change from the load `told`, sent last, is large enough to be
+/// sent.
 bool tells_load(std::uint32_t told, std::uint32_t now) {
   const std::uint32_t low = std::min(told, now);
   const std::uint32_t high = std::max(told, now);
--- a/membership/src/directory.cc
+++ b/membership/src/directory.cc
@@ -75,20 +75,20 @@
 
 using entry_list = std::vector<entry_view>;
 
-/// The entries of the caller's region, by what is known of them.
+/// The entries of the caller's region, by last contact.
 struct near_entries {
-  entry_list heard;   // taking callers, and heard a moment ago
-  entry_list silent;  // taking callers when last heard; not dead
+  entry_list heard;   // accept callers; recent contact
+  entry_list silent;  // accepted callers at the last contact; not dead
   bool known = false;
-  bool lost = false;  // one fell silent without saying that it stops
+  bool lost = false;  // one became silent without announcing a stop
 };
 
 near_entries find_near(const node_table& table, const entry_query& query,
                        const directory_options& options, monotonic_time now) {
   near_entries out;
   const bool own = query.near_region == options.own_region;
-  // Another region's nodes are heard through relays, seldom enough for the
-  // longer limit.
+  // Heartbeats of other regions come through relays and less often, so the
+  // longer limit applies.
   const std::chrono::milliseconds silent_after =
       own ? options.silent_after : table.options().suspect_after;
   for (const node_record* it : table.all()) {
@@ -113,7 +113,8 @@
   return std::find(all.begin(), all.end(), it) != all.end();
 }
 
-/// Leaves the entries of regions that can run the host's requests.
+/// Removes entries of the caller's region and of regions that can't run the
+/// host's requests.
 void keep_useful(entry_list& entries, const host_regions& host,
                  const std::string& near_region) {
   std::erase_if(entries, [&](const entry_view& it) {
@@ -121,8 +122,8 @@
   });
 }
 
-/// Live entries of other regions, of the homes where there are any; `beyond`:
-/// else of any region.
+/// Live entries of other regions: those of home regions or, if there are none
+/// and `beyond` is set, those of any region.
 entry_list stand_ins(const node_table& table, const entry_query& query,
                      const host_regions& host, bool beyond,
                      monotonic_time now) {
@@ -137,7 +138,8 @@
   return out;
 }
 
-/// Whether no entry of another region is heard: this node's region is cut off.
+/// Whether no node of another region is live: this node's region is then
+/// partitioned from all others.
 bool hears_no_other_region(const node_table& table,
                            const directory_options& options,
                            monotonic_time now) {
@@ -148,7 +150,7 @@
   });
 }
 
-/// Entries of other regions as they were when they were last heard.
+/// Entries of other regions in their last known state.
 entry_list last_heard_elsewhere(const node_table& table,
                                 const entry_query& query,
                                 const host_regions& host) {
@@ -168,7 +170,7 @@
   entry_list out = stand_ins(table, query, host, host.homes.empty(), now);
   const bool cut_off =
       out.empty() && hears_no_other_region(table, options, now);
-  // Callers reach regions that this node does not.
+  // Callers may reach regions that this node can't reach.
   return cut_off ? last_heard_elsewhere(table, query, host) : out;
 }
 
@@ -191,8 +193,8 @@
   if (!near.heard.empty() || !near.known) return std::move(near.heard);
   const bool beyond = !host.every_route && (near.lost || host.homes.empty());
   entry_list out = stand_ins(table, query, host, beyond, now);
-  // This node would hear them if it reached them; a node elsewhere may only
-  // be cut off from a region that is well.
+  // If the entries of its own region were alive, this node would have contact
+  // with them. Entries of another region may only be partitioned from it.
   const bool surely_gone =
       query.near_region == options.own_region && !out.empty();
   if (surely_gone) return out;
--- a/membership/src/endpoint_sums.cc
+++ b/membership/src/endpoint_sums.cc
@@ -7,13 +7,13 @@
 namespace trestlepost::membership {
 namespace {
 
-/// `from` less `n`, but not below 0.
+/// `from - n`, or 0 if that is negative.
 std::uint32_t less(std::uint32_t from, std::uint32_t n) {
   return from > n ? from - n : 0;
 }
 
-/// Adds the load `in` of one node; of the waits the least one is kept. `first`:
-/// no other node has named the service yet.
+/// Adds the load `in` of one node and keeps the shortest wait. `first`: no
+/// other node has reported the service yet.
 void add_service(service_load& sum, const service_load& in, bool first) {
   sum.in_flight += in.in_flight;
   sum.queued += in.queued;
--- a/membership/src/endpoint_tracker.cc
+++ b/membership/src/endpoint_tracker.cc
@@ -8,7 +8,8 @@
 namespace trestlepost::membership {
 namespace {
 
-// Limits move between one request and this many times the endpoint's slots.
+// The limit of an endpoint varies between one request and this multiple of its
+// slots.
 constexpr double most_over_slots = 1.25;
 constexpr double limit_decrease = 0.9;
 constexpr double limit_increase = 0.5;
@@ -38,7 +39,8 @@
       fresh.declared = it;
       fresh.state = chart_.initial();
       fresh.limit = it.slots;
-      // At this node's own start nothing is known to be cold.
+      // After the start of this node no endpoint is known to have just
+      // returned, so they start at their full limit.
       fresh.warming_since = any_seen_ ? now : now - options_.ramp;
       fresh.in_flight = same ? found->second.in_flight : 0;
       endpoints_[it.name] = std::move(fresh);
@@ -157,7 +159,8 @@
 void endpoint_tracker::platform_listed(const std::string& address, bool leaving,
                                        monotonic_time now) {
   for (auto& [name, it] : endpoints_) {
-    // The platform names VMs by IP number, endpoints add their port.
+    // The platform lists VMs by IP address only; endpoint addresses include a
+    // port.
     const bool same = it.declared.address == address ||
                       it.declared.address.starts_with(address + ":");
     if (!same) continue;
@@ -204,7 +207,8 @@
   out.own_in_flight = it.in_flight;
   const auto others = others_.find(it.declared.name);
   out.others_in_flight = others == others_.end() ? 0 : others->second;
-  // The report is a hint and ages; what gateways sent is fact.
+  // Reported load loses weight with age. The requests in flight from gateways
+  // are exact.
   double reported = 0;
   const load_report& last = it.last_report;
   const std::chrono::duration<double> age = now - last.at;
--- a/membership/src/node_state.cc
+++ b/membership/src/node_state.cc
@@ -44,7 +44,8 @@
 }
 
 bool node_state::is_behind(monotonic_time now) const {
-  // Requests that waited in the sockets may be read before the next tick.
+  // After a suspension, pending requests may be read from the sockets before
+  // the next tick.
   const bool ticks_late =
       last_tick_ && now >= *last_tick_ + options_.standstill;
   return ticks_late ||
--- a/membership/src/node_table.cc
+++ b/membership/src/node_table.cc
@@ -20,8 +20,8 @@
   return n;
 }
 
-// The two relays of a region tell the loads of another one in turn; they are
-// copied to its nodes no more often than this.
+// The two relays of a region report the loads of another region in turn. The
+// loads are copied to the nodes of that region at most this often.
 constexpr std::chrono::milliseconds services_interval{250};
 
 }  // namespace
@@ -172,7 +172,8 @@
   if (known != nodes_.end()) {
     const node_record& record = known->second;
     const bool same_life = record.last.node.incarnation == in.node.incarnation;
-    // A digest may bring the news of a heartbeat before the heartbeat itself.
+    // A digest may deliver the state of a heartbeat before the heartbeat
+    // itself.
     const bool overtaken =
         record.by_digest && in.sequence == record.last.sequence;
     const bool newer = in.sequence > record.last.sequence || overtaken;
@@ -203,7 +204,8 @@
   if (unknown && !in.whole) return;
   if (!unknown) {
     const node_record& record = known->second;
-    // A node whose clock went back starts a life with smaller sequences.
+    // After a restart with a clock that was set back, a node's sequence numbers
+    // start lower.
     const bool other_life =
         in.whole && in.node.incarnation != record.last.node.incarnation &&
         heard_at >= record.heard_at + options_.suspect_after;
--- a/membership/src/region_digest.cc
+++ b/membership/src/region_digest.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-// An age above one hour is not valid: such a node is long forgotten.
+// Larger ages are invalid: such a node has been removed long before.
 constexpr milliseconds oldest_news{3'600'000};
 
 json to_json(const digest_row& value) {
@@ -43,7 +43,7 @@
 
 result<region_digest> refused(const std::string& why) {
   return fail(error_kind::bad_input, "a digest of a relay " + why,
-              "check that all nodes run versions that speak with each other");
+              "run compatible versions of trestlepostd on all nodes");
 }
 
 bool is_span(const json& value) {
@@ -57,17 +57,19 @@
   return out;
 }
 
-/// Reads the rows; returns what is wrong with them, or nothing.
+/// Decodes the rows. Returns a description of the first error, or an empty
+/// string.
 std::string read_rows(const json& value, std::vector<digest_row>& out) {
   for (const json& it : value) {
     digest_row row = digest_row_from(it);
-    if (row.node.name.empty()) return "has news of a nameless node";
+    if (row.node.name.empty()) return "has a row without a node name";
     out.push_back(std::move(row));
   }
   return "";
 }
 
-/// Reads how long ago the relay heard of its nodes; likewise.
+/// Decodes the times since the relay's last contact with nodes. Returns an
+/// error as `read_rows` does.
 std::string read_ages(const json& value, region_digest& out) {
   if (!is_span(member_of(value, "f"))) return "has no valid age";
   out.fresh = milliseconds(number_of(value, "f"));
@@ -80,7 +82,8 @@
   return "";
 }
 
-/// Reads the loads that endpoints reported; likewise.
+/// Decodes the loads reported by endpoints. Returns an error as `read_rows`
+/// does.
 std::string read_reports(const json& value,
                          std::map<std::string, reported_load>& out) {
   if (!value.isObject()) return "";
@@ -88,7 +91,7 @@
     const json& one = value[it];
     const bool pair =
         one.isArray() && one.size() == 2 && one[0].isUInt() && one[1].isUInt();
-    if (!pair) return "has an invalid report of " + it;
+    if (!pair) return "has an invalid load report of " + it;
     out[it] = {one[0].asUInt(), one[1].asUInt()};
   }
   return "";
@@ -148,8 +151,10 @@
   out.since = number_of(value, "b");
   out.version = number_of(value, "v");
   const bool named = !out.relay.empty() && !out.region.empty();
-  if (!named || out.life == 0) return refused("names no relay");
-  if (out.since > out.version) return refused("goes back in its versions");
+  if (!named || out.life == 0)
+    return refused("has no relay, region or incarnation");
+  if (out.since > out.version)
+    return refused("has a version below its first version");
   std::string fault = read_rows(member_of(value, "rows"), out.rows);
   if (!fault.empty()) return refused(fault);
   fault = read_ages(value, out);
--- a/membership/src/relay_choice.cc
+++ b/membership/src/relay_choice.cc
@@ -10,9 +10,10 @@
 namespace trestlepost::membership {
 namespace {
 
-// A candidate that did not answer is tried again after this time.
+// Time after which an unresponsive candidate is tried again.
 constexpr std::chrono::milliseconds retry_after{5000};
-// A relay takes the heartbeats of so many nodes at the set interval.
+// Number of nodes whose heartbeats a relay can process at the configured
+// interval.
 constexpr std::size_t nodes_at_base_interval = 40;
 // Heartbeats that fit into the time after which a silent node is suspected.
 constexpr int beats_until_suspect = 5;
@@ -29,7 +30,7 @@
 
 std::vector<std::string> rank_relays(const std::string& region,
                                      std::vector<relay_candidate> candidates) {
-  // The kind that each place asks for first.
+  // Preferred kind for each relay position.
   constexpr std::array<bool, relays_per_region> control_first{true, false};
   std::vector<std::string> out;
   for (const bool control : control_first) {
--- a/membership/test/cached_prefix-test.cc
+++ b/membership/test/cached_prefix-test.cc
@@ -1,4 +1,4 @@
-// What gateways tell each other of cached prompt beginnings.
+// Tests of the JSON encoding of cached prompt prefixes.
 #include "trestlepost/membership/cached_prefix.h"
 
 #include <gtest/gtest.h>
--- a/membership/test/directory-test.cc
+++ b/membership/test/directory-test.cc
@@ -1,3 +1,5 @@
+// Tests which entries the directory returns while nodes or regions are silent,
+// evacuated, partitioned or restarting.
 #include "trestlepost/membership/directory.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +14,8 @@
 
 const monotonic_time start;
 
-/// What a directory node of `asked` tells callers of the region north.
+/// Names of the entries that a directory node of region `asked` returns to
+/// callers of region "north".
 std::vector<std::string> told(const node_table& table, monotonic_time now,
                               const std::string& asked = "north",
                               const host_regions& host = {}) {
@@ -110,7 +113,7 @@
   table.observe(beat("s1", "south", 1), start);
   table.observe(beat("w1", "west", 1), start);
   EXPECT_EQ(told(table, start, "north", {{"west"}, true}), names({"w1"}));
-  // Some routes of the host may be served near the caller.
+  // Some routes of the host may be served in the caller's region.
   EXPECT_EQ(told(table, start, "north", {{"west"}, false}), names({"n1"}));
 }
 
@@ -132,7 +135,7 @@
   table.observe(beat("n1", "north", 1), later);
   const host_regions bound{{"south"}, true};
   EXPECT_EQ(told(table, later, "north", bound), names({"s1"}));
-  // Who hears other regions knows that this one is gone.
+  // Contact with another region shows that "south" itself is lost.
   table.observe(beat("w1", "west", 1), later);
   EXPECT_EQ(told(table, later, "north", bound), names({"n1"}));
 }
--- a/membership/test/endpoint_tracker-test.cc
+++ b/membership/test/endpoint_tracker-test.cc
@@ -1,3 +1,4 @@
+// Tests of endpoint states, ejections, ramp-up, limits and load estimates.
 #include "trestlepost/membership/endpoint_tracker.h"
 
 #include <gtest/gtest.h>
--- a/membership/test/heartbeats.h
+++ b/membership/test/heartbeats.h
@@ -1,4 +1,4 @@
-// A heartbeat of a node that takes callers, as tests need it.
+// Helper for tests: a heartbeat of a node that accepts callers.
 #pragma once
 
 #include <cstdint>
--- a/membership/test/node_table-test.cc
+++ b/membership/test/node_table-test.cc
@@ -1,3 +1,4 @@
+// Tests of the node table, the ranking of entries and the state of a node.
 #include "trestlepost/membership/node_table.h"
 
 #include <gtest/gtest.h>
@@ -85,10 +86,10 @@
   EXPECT_EQ(others[0]->last.node.name, "other");
 }
 
-// Who sends to a cold endpoint is ranked among these. A gateway that is not
-// heard for a moment may send all the same: left out, it would be replaced
-// while it still sends, and where many stand still or have just started, every
-// one of the others would take the place.
+// The gateways that send to a cold endpoint are chosen among these. A gateway
+// without recent contact may still be sending. If it were left out, another one
+// would take its place while it still sends; if many gateways are suspended or
+// have just started, each of the others would.
 TEST(node_table_test, a_gateway_that_is_not_heard_may_still_send) {
   node_table table;
   const monotonic_time start;
@@ -150,7 +151,7 @@
   monotonic_time now;
   node_state it = make_state(now);
   const monotonic_time asked = now;
-  now += milliseconds(6000);  // frozen while the answer waited
+  now += milliseconds(6000);  // suspended before the reply was read
   it.confirm(asked, now);
   EXPECT_FALSE(it.crosses_regions());
 }
@@ -172,7 +173,7 @@
   it.confirm(start, start + milliseconds(100));
   EXPECT_TRUE(it.is_learning(start + milliseconds(200)));
   EXPECT_FALSE(it.is_learning(start + milliseconds(600)));
-  // Cut off later, it has learned nothing new to wait for.
+  // A partition later on leaves nothing to wait for.
   it.tick(start + milliseconds(9000), true);
   EXPECT_FALSE(it.is_learning(start + milliseconds(9000)));
 }
@@ -183,7 +184,8 @@
   it.confirm(start, start);
   it.tick(start + milliseconds(3000), true);
   EXPECT_FALSE(it.is_behind(start + milliseconds(3999)));
-  // Asked before it resumed, however late the answer is read.
+  // A confirmation requested before the suspension does not count, however late
+  // it is read.
   const monotonic_time resumed = start + milliseconds(4500);
   EXPECT_TRUE(it.is_behind(resumed));
   it.tick(resumed, true);
@@ -194,7 +196,8 @@
   EXPECT_FALSE(it.is_behind(resumed + milliseconds(100)));
 }
 
-// What waits in its sockets has waited for a second already.
+// Pending requests have already waited a second in the node's sockets, so the
+// node must not wait long for a leader.
 TEST(node_state_test, without_a_leader_a_node_that_stood_still_goes_on) {
   const monotonic_time start;
   node_state it = make_state(start);
--- a/membership/test/region_digest-test.cc
+++ b/membership/test/region_digest-test.cc
@@ -1,3 +1,5 @@
+// Tests of digests: contents and size, merging of several relays, sums, and
+// validation.
 #include "trestlepost/membership/region_digest.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +40,7 @@
   return out.value_or(region_digest());
 }
 
-/// A relay with its table.
+/// A relay and its node table.
 struct relay {
   explicit relay(const std::string& name, std::uint64_t life = 7)
       : writer(info(name), life) {}
@@ -52,7 +54,7 @@
   digest_writer writer;
 };
 
-/// One that hears digests only.
+/// A node that receives only digests.
 struct member {
   digest_outcome hear(const region_digest& in, monotonic_time now) {
     return reader.take(in, self, table, now);
@@ -294,7 +296,7 @@
   EXPECT_TRUE(refused("rp", report));
 }
 
-// Digests of two relays come late, doubled, in any order or not at all.
+// Digests of two relays arrive late, twice, out of order or not at all.
 RC_GTEST_PROP(region_digest_test, merging_never_goes_back_and_converges, ()) {
   relay relays[] = {relay("r1"), relay("r2")};
   member m;
@@ -326,7 +328,7 @@
       const std::size_t at =
           *rc::gen::inRange<std::size_t>(0, under_way.size());
       m.hear(under_way[at], now);
-      // Left in place it may come once more.
+      // A digest that is kept may be delivered again.
       if (what == 2)
         under_way.erase(std::next(under_way.begin(), static_cast<long>(at)));
     }
--- a/membership/test/relay_choice-test.cc
+++ b/membership/test/relay_choice-test.cc
@@ -1,3 +1,4 @@
+// Tests of the choice of relays and of the heartbeat interval.
 #include "trestlepost/membership/relay_choice.h"
 
 #include <gtest/gtest.h>
