--- a/config/test/control_machine.cc
+++ b/config/test/control_machine.cc
@@ -65,7 +65,7 @@
       id(), group, std::make_unique<consensus::test::simulated_storage>(disk),
       process_->machine, *this, random);
   consensus::open_membership open;
-  open.least_voters = consensus::voters_to_bear(options.tolerated_losses);
+  open.min_voters = consensus::voters_to_tolerate(options.tolerated_losses);
   process_->host->set_open_membership(open);
   process_->host->start(local_now);
 }
@@ -103,8 +103,8 @@
       take_join(in);
       return;
     }
-    process_->growth.heard(*process_->host, local_now, in.message->from,
-                           in.from_address);
+    process_->growth.record_address(*process_->host, local_now,
+                                    in.message->from, in.from_address);
     process_->host->receive(local_now, *in.message);
   });
 }
@@ -144,7 +144,7 @@
 void control_machine::tick(const std::vector<std::string>& contacts) {
   guarded([this] {
     process_->host->tick(local_now);
-    process_->growth.observe(*process_->host, local_now, leads(), address);
+    process_->growth.update(*process_->host, local_now, leads(), address);
   });
   if (!running()) return;
   if (local_now < process_->next_join || !host().needs_join(local_now)) return;
@@ -161,8 +161,9 @@
 bool control_machine::may_acknowledge() const {
   if (!leads()) return false;
   if (machine().plan() || options_.acknowledge_early) return true;
-  return process_->growth.has_grown(
-      host(), local_now, consensus::voters_to_bear(options_.tolerated_losses));
+  return process_->growth.is_formed(
+      host(), local_now,
+      consensus::voters_to_tolerate(options_.tolerated_losses));
 }
 
 void control_machine::propose(
--- a/config/test/control_machine.h
+++ b/config/test/control_machine.h
@@ -1,6 +1,6 @@
 // One simulated machine of the control group: its disk outlives its process.
-// It runs the shipped group_host, group_growth and config_state_machine; what
-// the daemon does around them with sockets is done here with letters.
+// It runs the shipped group_host, group_formation and config_state_machine;
+// what the daemon does around them with sockets is done here with letters.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 #include "../../consensus/test/simulated_disk.h"
 #include "trestlepost/config/state_machine.h"
-#include "trestlepost/consensus/group_growth.h"
+#include "trestlepost/consensus/group_formation.h"
 
 namespace trestlepost::config::test {
 
@@ -104,7 +104,7 @@
   struct process {
     std::map<std::string, std::string> heard_from;
     plan_machine machine;
-    consensus::group_growth growth{heard_from};
+    consensus::group_formation growth{heard_from};
     std::unique_ptr<consensus::group_host> host;
     std::map<std::string, std::function<void(const change_result&)>> waiting;
     std::uint64_t next_read = 1;
--- a/consensus/include/trestlepost/consensus/file_storage.h
+++ b/consensus/include/trestlepost/consensus/file_storage.h
@@ -68,7 +68,7 @@
                        const std::vector<entry>& entries) override;
 
   /// Bytes of an incomplete last record that `load` has truncated.
-  std::size_t torn_bytes() const { return torn_bytes_; }
+  std::size_t truncated_bytes() const { return truncated_bytes_; }
 
  private:
   result<void> load_snapshot(durable_state& state);
@@ -86,7 +86,7 @@
   unique_fd log_;
   hard_state hard_;
   bool failed_ = false;
-  std::size_t torn_bytes_ = 0;
+  std::size_t truncated_bytes_ = 0;
 };
 
 }  // namespace trestlepost::consensus
--- a/consensus/include/trestlepost/consensus/group_growth.h
+++ b/consensus/include/trestlepost/consensus/group_formation.h
@@ -14,27 +14,27 @@
 namespace trestlepost::consensus {
 
 /// Voters that a group needs to tolerate the loss of `losses` of them at once.
-constexpr std::size_t voters_to_bear(std::size_t losses) {
+constexpr std::size_t voters_to_tolerate(std::size_t losses) {
   return 2 * losses + 1;
 }
 
 /// Decisions about joins and addresses for the replica of a `group_host`. Sends
 /// no messages itself.
-class group_growth {
+class group_formation {
  public:
-  /// `heard_from` maps each node to the sender address of its last message; it
-  /// must outlive this object.
-  explicit group_growth(std::map<std::string, std::string>& heard_from)
-      : heard_from_(heard_from) {}
+  /// `sender_addresses` maps each node to the sender address of its last
+  /// message; it must outlive this object.
+  explicit group_formation(std::map<std::string, std::string>& sender_addresses)
+      : sender_addresses_(sender_addresses) {}
 
   /// Updates whether this replica leads, and its own address. Call it at every
   /// tick.
-  void observe(group_host& host, monotonic_time now, bool leads,
-               const std::string& own_address);
+  void update(group_host& host, monotonic_time now, bool leads,
+              const std::string& own_address);
   /// Records that a message of `from` came from `address`; does nothing if
   /// `address` is empty.
-  void heard(group_host& host, monotonic_time now, const replica_id& from,
-             const std::string& address);
+  void record_address(group_host& host, monotonic_time now,
+                      const replica_id& from, const std::string& address);
   /// Last known address of a node, from its messages or else from the member
   /// list; empty if unknown.
   std::string address_of(const group_host& host, const std::string& node) const;
@@ -42,20 +42,20 @@
   /// forwarded to the leader.
   bool handle_join(group_host& host, monotonic_time now,
                    const replica_id& joiner, const std::string& address);
-  /// Whether a group that has acknowledged no change yet has `least_voters`
+  /// Whether a group that has acknowledged no change yet has `min_voters`
   /// voters, or has waited for them up to the time limit.
-  bool has_grown(const group_host& host, monotonic_time now,
-                 std::size_t least_voters) const;
+  bool is_formed(const group_host& host, monotonic_time now,
+                 std::size_t min_voters) const;
   /// Start of this replica's current leadership.
   std::optional<monotonic_time> leading_since() const { return leading_since_; }
 
  private:
-  void list_where_moved(group_host& host, monotonic_time now,
-                        const replica_id& id, const std::string& address);
+  void update_member_address(group_host& host, monotonic_time now,
+                             const replica_id& id, const std::string& address);
 
-  std::map<std::string, std::string>& heard_from_;
+  std::map<std::string, std::string>& sender_addresses_;
   std::optional<monotonic_time> leading_since_;
-  monotonic_time last_join_heard_;
+  monotonic_time last_join_at_;
 };
 
 }  // namespace trestlepost::consensus
--- a/consensus/include/trestlepost/consensus/group_host.h
+++ b/consensus/include/trestlepost/consensus/group_host.h
@@ -44,7 +44,7 @@
   /// after a start must keep receiving messages and renewing its lease.
   std::size_t apply_bytes = 64UL * 1024;
   /// A learner that has sent nothing for this time is not promoted to voter.
-  std::chrono::milliseconds member_silence{3000};
+  std::chrono::milliseconds member_timeout{3000};
 };
 
 /// Membership that consists of the nodes that ask to join, instead of a
@@ -52,9 +52,9 @@
 struct open_membership {
   /// Voters that the group keeps even if they are unreachable. An unreachable
   /// voter is removed only while this many others are live.
-  std::size_t least_voters = 1;
+  std::size_t min_voters = 1;
   /// A member that has sent nothing for this time may be removed.
-  std::chrono::milliseconds gone_after{4000};
+  std::chrono::milliseconds removal_timeout{4000};
 };
 
 /// A replica with its storage, its state machine and its message channel.
@@ -91,7 +91,9 @@
   void set_desired_voters(std::vector<std::string> nodes);
 
   /// Makes every node that asks to join a voter, instead of a fixed list.
-  void set_open_membership(open_membership options) { open_ = options; }
+  void set_open_membership(open_membership options) {
+    open_membership_ = options;
+  }
   /// The member of this node that replied last, or null.
   const member* find_member(const std::string& node) const;
   /// Whether any member is not a voter yet.
@@ -124,24 +126,24 @@
     std::function<void()> ready;
   };
 
-  void drain();
+  void process_output();
   /// Stores the pending writes and sends the pending messages of the replica.
-  void take_output();
+  void write_and_send();
   void queue_committed(const output& out);
-  void apply_some();
+  void apply_committed();
   void finish_reads();
   void compact_if_due();
   void adjust_members(monotonic_time now);
   std::optional<member_list> next_members(monotonic_time now) const;
-  bool is_desired(const std::string& node) const;
-  bool is_admitted(const std::string& node) const;
-  bool is_replaced(monotonic_time now, const member& it) const;
-  bool is_surplus(monotonic_time now, const member& it) const;
+  bool is_desired_voter(const std::string& node) const;
+  bool may_join(const std::string& node) const;
+  bool is_superseded(monotonic_time now, const member& it) const;
+  bool is_removable(monotonic_time now, const member& it) const;
   bool is_silent(monotonic_time now, const member& it,
-                 std::chrono::milliseconds longest) const;
-  bool take_address(const replica_id& joiner, const std::string& address);
-  bool must_leave(monotonic_time now, const member& it) const;
-  bool has_voter_of(const std::string& node) const;
+                 std::chrono::milliseconds timeout) const;
+  bool update_address(const replica_id& joiner, const std::string& address);
+  bool must_remove(monotonic_time now, const member& it) const;
+  bool has_voter(const std::string& node) const;
   bool ready_to_vote(monotonic_time now, const member& learner) const;
 
   replica_id self_;
@@ -151,9 +153,9 @@
   message_sink& sink_;
   random_source& random_;
   std::unique_ptr<replica> replica_;
-  std::vector<std::string> desired_;
-  std::vector<std::string> admitted_;
-  std::optional<open_membership> open_;
+  std::vector<std::string> desired_voters_;
+  std::vector<std::string> admitted_learners_;
+  std::optional<open_membership> open_membership_;
   std::vector<waiting_read> reads_;
   std::optional<error> failure_;
   log_index applied_ = 0;
@@ -162,7 +164,7 @@
   std::deque<confirmed_read> confirmed_reads_;
   std::size_t bytes_since_snapshot_ = 0;
   std::size_t last_snapshot_bytes_ = 0;
-  bool draining_ = false;
+  bool processing_output_ = false;
 };
 
 }  // namespace trestlepost::consensus
--- a/consensus/include/trestlepost/consensus/replica.h
+++ b/consensus/include/trestlepost/consensus/replica.h
@@ -2,7 +2,7 @@
 // ticks, and produces messages, writes and committed entries.
 //
 // The owner must make the writes of an `output` durable before it sends the
-// messages of the same output, and must then call `written`.
+// messages of the same output, and must then call `mark_durable`.
 #pragma once
 
 #include <chrono>
@@ -96,12 +96,12 @@
   /// majority has confirmed that this replica still leads.
   result<void> request_read(std::uint64_t token);
 
-  /// Whether `take` would return anything.
+  /// Whether `take_output` would return anything.
   bool has_output() const;
-  output take();
+  output take_output();
 
-  /// Confirms that the writes of the last `take` are durable.
-  void written();
+  /// Confirms that the writes of the last `take_output` are durable.
+  void mark_durable();
 
   /// Replaces the log up to `index` by a snapshot with the state machine's
   /// state `data`. Returns the snapshot to store.
@@ -117,7 +117,7 @@
   log_index last_index() const;
   log_index first_index() const { return base_.index + 1; }
   /// Whether an entry of the leader's own term is committed.
-  bool leads_settled() const;
+  bool has_committed_in_term() const;
   const std::string& group_id() const { return hard_.group_id; }
   const std::optional<replica_id>& voted_for() const { return hard_.voted_for; }
   const replica_id& self() const { return self_; }
@@ -126,13 +126,15 @@
   /// Whether `id` has all committed entries. Only valid on the leader.
   bool caught_up(const replica_id& id) const;
   /// Time of the last reply of `id`. Only valid on the leader.
-  std::optional<monotonic_time> last_heard(const replica_id& id) const;
+  std::optional<monotonic_time> last_reply_at(const replica_id& id) const;
   /// Since when this leader replicates to `id`; the current time if it does
   /// not. Only valid on the leader.
-  monotonic_time known_since(const replica_id& id) const;
+  monotonic_time replicating_since(const replica_id& id) const;
   bool members_change_pending() const;
   /// Time of the last message from a leader, or of the start.
-  monotonic_time leader_heard_at() const { return leader_heard_at_; }
+  monotonic_time last_leader_message_at() const {
+    return last_leader_message_at_;
+  }
   const std::vector<entry>& entries() const { return log_; }
 
  private:
@@ -140,14 +142,15 @@
     log_index next = 1;
     log_index match = 0;
     std::uint64_t acked_round = 0;
-    std::optional<monotonic_time> heard_at;
-    monotonic_time known_since;  // when this leader began to replicate to it
+    std::optional<monotonic_time> reply_at;
+    monotonic_time
+        replicating_since;  // when this leader began to replicate to it
     monotonic_time retry_at;
     bool probing = true;
     /// First index of the last entries sent while probing. They are not sent
-    /// again before `probe_again_at`.
+    /// again before `probe_retry_at`.
     log_index probed_from = 0;
-    monotonic_time probe_again_at;
+    monotonic_time probe_retry_at;
     /// Index of the entry that added this member, if this leader appended it.
     log_index admitted_at = 0;
   };
@@ -175,7 +178,7 @@
   void request_votes(bool pre_vote);
   void count_vote(const replica_id& from);
   bool may_grant(const vote_request& body) const;
-  bool leader_is_fresh() const;
+  bool has_active_leader() const;
   void reset_election_deadline();
   /// After a start there may be no leader. Voters then start elections in the
   /// order of the member list, because with random deadlines two of them would
@@ -192,7 +195,7 @@
   /// `candidate`, so that the few remaining voters do not split their votes.
   /// This happens only once until the next term or message of a leader: a
   /// candidate whose links fail in one direction keeps asking and never wins.
-  void give_way_to(const replica_id& candidate);
+  void yield_to(const replica_id& candidate);
 
   void append(entry_type type, std::string data);
   void append_received(const std::vector<entry>& entries);
@@ -203,14 +206,14 @@
   bool awaits_admission(const replica_id& id, const progress& peer) const;
   /// Sends the first message to members whose addition was committed after
   /// index `before`.
-  void write_to_admitted(log_index before);
+  void send_to_admitted(log_index before);
   void send_append(const replica_id& to, progress& peer);
   void add_entries(append_request& body, progress& peer);
   /// Last index of the message that begins at `first`.
   log_index end_of_batch(log_index first) const;
   /// Whether the entries that the follower lacks were sent recently. A follower
   /// that takes long to process them must not be sent the same entries again.
-  bool awaits_probe(const progress& peer) const;
+  bool is_probe_in_flight(const progress& peer) const;
   void send_snapshot(const replica_id& to, progress& peer);
   void reply_append(const message& in, bool accepted, log_index match,
                     std::uint64_t round);
@@ -218,7 +221,7 @@
   void commit_to(log_index index);
   void finish_reads();
   void check_quorum();
-  bool is_overdue_again();
+  bool is_second_overdue_tick();
   void send(const replica_id& to, message_body body);
 
   bool is_voter(const replica_id& id) const;
@@ -227,7 +230,7 @@
   std::uint64_t quorum_round() const;
   term_number term_at(log_index index) const;
   const entry& entry_at(log_index index) const;
-  bool change_is_single(const member_list& next) const;
+  bool is_single_change(const member_list& next) const;
 
   replica_id self_;
   replica_options options_;
@@ -240,18 +243,18 @@
   member_list members_;
   log_index members_index_ = 0;
   log_index commit_ = 0;
-  log_index handed_out_ = 0;  // last committed index passed to the owner
+  log_index delivered_ = 0;  // last committed index passed to the owner
   log_index durable_ = 0;
   log_index durable_after_write_ = 0;
 
   role role_ = role::follower;
   std::optional<replica_id> leader_;
-  bool gave_way_ = false;  // to another candidate
+  bool yielded_ = false;  // to another candidate
   monotonic_time election_deadline_;
   monotonic_time heartbeat_due_;
-  monotonic_time leader_heard_at_;
+  monotonic_time last_leader_message_at_;
   monotonic_time elected_at_;
-  bool overdue_ = false;  // a deadline had passed at the last tick
+  bool deadline_passed_ = false;  // a deadline had passed at the last tick
   bool pre_voting_ = false;
   std::set<replica_id> votes_;
   std::map<replica_id, progress> peers_;
--- a/consensus/src/file_storage.cc
+++ b/consensus/src/file_storage.cc
@@ -19,29 +19,29 @@
 
 constexpr char snapshot_name[] = "snapshot";
 constexpr char log_name[] = "log";
-constexpr char identity_name[] = "identity";
+constexpr char incarnation_name[] = "identity";
 constexpr char lock_name[] = "lock";
 constexpr mode_t file_mode = 0600;
 
 // Record format: magic, payload length, payload checksum, payload.
 constexpr std::uint32_t record_magic = 0x31505254;  // "TRP1"
-constexpr std::size_t header_size = 16;
-constexpr std::uint32_t largest_record = 1U << 30;
+constexpr std::size_t header_bytes = 16;
+constexpr std::uint32_t max_record_bytes = 1U << 30;
 
 struct record_header {
   std::uint32_t magic = record_magic;
   std::uint32_t size = 0;
   std::uint64_t checksum = 0;
 };
-static_assert(sizeof(record_header) == header_size);
+static_assert(sizeof(record_header) == header_bytes);
 
 std::string make_record(const json& payload) {
   const std::string text = to_text(payload);
   record_header header;
   header.size = static_cast<std::uint32_t>(text.size());
   header.checksum = hash64(text);
-  std::string out(header_size, '\0');
-  std::memcpy(out.data(), &header, header_size);
+  std::string out(header_bytes, '\0');
+  std::memcpy(out.data(), &header, header_bytes);
   return out + text;
 }
 
@@ -49,20 +49,20 @@
 /// complete record.
 std::optional<std::string_view> record_at(std::string_view data,
                                           std::size_t at) {
-  if (data.size() - at < header_size) return std::nullopt;
+  if (data.size() - at < header_bytes) return std::nullopt;
   record_header header;
-  std::memcpy(&header, data.data() + at, header_size);
-  if (header.magic != record_magic || header.size > largest_record) {
+  std::memcpy(&header, data.data() + at, header_bytes);
+  if (header.magic != record_magic || header.size > max_record_bytes) {
     return std::nullopt;
   }
-  if (data.size() - at - header_size < header.size) return std::nullopt;
-  const std::string_view payload = data.substr(at + header_size, header.size);
+  if (data.size() - at - header_bytes < header.size) return std::nullopt;
+  const std::string_view payload = data.substr(at + header_bytes, header.size);
   if (hash64(payload) != header.checksum) return std::nullopt;
   return payload;
 }
 
-bool any_record_after(std::string_view data, std::size_t at) {
-  for (std::size_t i = at + 1; i + header_size <= data.size(); ++i) {
+bool has_record_after(std::string_view data, std::size_t at) {
+  for (std::size_t i = at + 1; i + header_bytes <= data.size(); ++i) {
     if (record_at(data, i)) return true;
   }
   return false;
@@ -111,12 +111,12 @@
     truncate_entries(state.entries, number_of(record, "truncate_from"));
     return true;
   }
-  entry read = entry_from(member_of(record, "entry"));
-  if (read.index <= state.base.index) return true;
+  entry added = entry_from(member_of(record, "entry"));
+  if (added.index <= state.base.index) return true;
   const log_index last =
       state.entries.empty() ? state.base.index : state.entries.back().index;
-  if (read.index != last + 1) return false;
-  state.entries.push_back(std::move(read));
+  if (added.index != last + 1) return false;
+  state.entries.push_back(std::move(added));
   return true;
 }
 
@@ -234,11 +234,11 @@
     if (!payload) break;
     const result<json> parsed = parse_json(*payload);
     if (!parsed || !replay(*parsed, state)) break;
-    at += header_size + payload->size();
+    at += header_bytes + payload->size();
   }
-  torn_bytes_ = data.size() - at;
-  if (torn_bytes_ == 0) return {};
-  if (record_at(data, at) || any_record_after(data, at)) {
+  truncated_bytes_ = data.size() - at;
+  if (truncated_bytes_ == 0) return {};
+  if (record_at(data, at) || has_record_after(data, at)) {
     return fail(error_kind::corrupt,
                 "the log " + path.string() + " is damaged at byte " +
                     std::to_string(at),
@@ -279,9 +279,9 @@
   // One record for the whole batch: after a power loss during an unsynced write
   // no complete record can follow an incomplete one, which `load` would report
   // as damage.
-  json whole;
-  whole["batch"] = std::move(records);
-  result<void> done = write_all(log_.get(), make_record(whole));
+  json record;
+  record["batch"] = std::move(records);
+  result<void> done = write_all(log_.get(), make_record(record));
   if (!done) return done;
   return sync(log_.get());
 }
@@ -313,23 +313,23 @@
 result<void> replace_file(const std::filesystem::path& folder,
                           const std::string& name, std::string_view data,
                           file_operations& operations) {
-  const std::filesystem::path aside = folder / (name + ".new");
+  const std::filesystem::path temporary = folder / (name + ".new");
   {
     const unique_fd fd(
-        ::open(aside.c_str(), O_WRONLY | O_CREAT | O_TRUNC, file_mode));
+        ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC, file_mode));
     if (!fd.valid() || !write_fully(operations, fd.get(), data) ||
         operations.sync(fd.get()) != 0) {
       return fail(
           error_kind::storage_failed,
-          "cannot write " + aside.string() + ": " + std::strerror(errno),
+          "cannot write " + temporary.string() + ": " + std::strerror(errno),
           "free or replace the disk, then restart this node");
     }
   }
   std::error_code ec;
-  std::filesystem::rename(aside, folder / name, ec);
+  std::filesystem::rename(temporary, folder / name, ec);
   if (ec) {
     return fail(error_kind::storage_failed,
-                "cannot rename " + aside.string() + ": " + ec.message(),
+                "cannot rename " + temporary.string() + ": " + ec.message(),
                 "make the data folder writable, then restart this node");
   }
   return sync_folder(folder);
@@ -343,7 +343,7 @@
 
 result<std::uint64_t> load_or_create_incarnation(
     const std::filesystem::path& folder, random_source& random) {
-  const std::filesystem::path path = folder / identity_name;
+  const std::filesystem::path path = folder / incarnation_name;
   if (std::filesystem::exists(path)) {
     const result<json> parsed = parse_json(read_file(path));
     const std::uint64_t n = parsed ? number_of(*parsed, "incarnation") : 0;
@@ -354,7 +354,8 @@
   json value;
   const std::uint64_t n = (random.next() >> 1) | 1;
   value["incarnation"] = json(Json::UInt64(n));
-  const result<void> done = replace_file(folder, identity_name, to_text(value));
+  const result<void> done =
+      replace_file(folder, incarnation_name, to_text(value));
   if (!done) return tl::make_unexpected(done.error());
   return n;
 }
--- a/consensus/src/group_host.cc
+++ b/consensus/src/group_host.cc
@@ -50,7 +50,7 @@
                                member_list members) {
   result<void> done = replica_->found(std::move(group_id), std::move(members));
   if (!done) return done;
-  drain();
+  process_output();
   if (failure_) return tl::make_unexpected(*failure_);
   tick(now);
   return {};
@@ -62,7 +62,7 @@
   replica_->tick(now);
   result<void> done = replica_->recover_alone(std::move(group_id));
   if (!done) return done;
-  drain();
+  process_output();
   if (failure_) return tl::make_unexpected(*failure_);
   tick(now);
   return {};
@@ -72,25 +72,25 @@
   if (failure_) return;
   replica_->tick(now);
   if (replica_->is_leader()) adjust_members(now);
-  drain();
+  process_output();
 }
 
 void group_host::receive(monotonic_time now, const message& in) {
   if (failure_) return;
   replica_->receive(now, in);
-  drain();
+  process_output();
 }
 
 result<log_index> group_host::propose(monotonic_time now, std::string command) {
   if (failure_) return tl::make_unexpected(*failure_);
   if (replica_->is_leader() && !replica_->holds_lease(now) &&
-      replica_->leads_settled()) {
+      replica_->has_committed_in_term()) {
     return fail(error_kind::unavailable, "the leader has lost its majority",
                 "try again; another leader will be elected");
   }
   result<log_index> index =
       replica_->propose(entry_type::command, std::move(command));
-  drain();
+  process_output();
   if (failure_) return tl::make_unexpected(*failure_);
   return index;
 }
@@ -100,14 +100,14 @@
   if (failure_) return tl::make_unexpected(*failure_);
   replica_->tick(now);
   reads_.push_back({token, std::move(ready)});
-  result<void> asked = replica_->request_read(token);
-  if (!asked) reads_.pop_back();
-  drain();
-  return asked;
+  result<void> proposed = replica_->request_read(token);
+  if (!proposed) reads_.pop_back();
+  process_output();
+  return proposed;
 }
 
 bool group_host::holds_lease(monotonic_time now) const {
-  return !failure_ && replica_->leads_settled() &&
+  return !failure_ && replica_->has_committed_in_term() &&
          applied_term_ == replica_->term() && replica_->holds_lease(now);
 }
 
@@ -121,26 +121,26 @@
 bool group_host::needs_join(monotonic_time now) const {
   if (failure_ || replica_->is_leader()) return false;
   if (!is_member()) return true;
-  constexpr int silent_timeouts = 3;
-  return replica_->leader_heard_at() +
-             silent_timeouts * options_.replica.election_timeout <
+  constexpr int leader_timeouts = 3;
+  return replica_->last_leader_message_at() +
+             leader_timeouts * options_.replica.election_timeout <
          now;
 }
 
 void group_host::set_desired_voters(std::vector<std::string> nodes) {
-  desired_ = std::move(nodes);
+  desired_voters_ = std::move(nodes);
 }
 
 void group_host::set_admitted_learners(std::vector<std::string> nodes) {
-  admitted_ = std::move(nodes);
+  admitted_learners_ = std::move(nodes);
 }
 
 const member* group_host::find_member(const std::string& node) const {
   const member* out = nullptr;
   for (const member& it : replica_->members()) {
     if (it.id.node != node) continue;
-    const bool newer = out == nullptr || replica_->last_heard(it.id) >
-                                             replica_->last_heard(out->id);
+    const bool newer = out == nullptr || replica_->last_reply_at(it.id) >
+                                             replica_->last_reply_at(out->id);
     if (newer) out = &it;
   }
   return out;
@@ -152,18 +152,20 @@
                      [](const member& it) { return !it.voter; });
 }
 
-bool group_host::is_admitted(const std::string& node) const {
-  return is_desired(node) ||
-         std::find(admitted_.begin(), admitted_.end(), node) != admitted_.end();
+bool group_host::may_join(const std::string& node) const {
+  return is_desired_voter(node) ||
+         std::find(admitted_learners_.begin(), admitted_learners_.end(),
+                   node) != admitted_learners_.end();
 }
 
-bool group_host::is_desired(const std::string& node) const {
-  if (open_) return true;
-  return std::find(desired_.begin(), desired_.end(), node) != desired_.end();
+bool group_host::is_desired_voter(const std::string& node) const {
+  if (open_membership_) return true;
+  return std::find(desired_voters_.begin(), desired_voters_.end(), node) !=
+         desired_voters_.end();
 }
 
-bool group_host::take_address(const replica_id& joiner,
-                              const std::string& address) {
+bool group_host::update_address(const replica_id& joiner,
+                                const std::string& address) {
   member_list next = replica_->members();
   const auto it =
       std::find_if(next.begin(), next.end(),
@@ -171,8 +173,8 @@
   if (it == next.end()) return false;
   if (address.empty() || it->address == address) return true;
   it->address = address;
-  const result<log_index> asked = replica_->propose_members(next);
-  if (asked) {
+  const result<log_index> proposed = replica_->propose_members(next);
+  if (proposed) {
     log_event(log_level::info, "member-moved",
               {{"replica", joiner.node}, {"address", address}});
   }
@@ -181,8 +183,8 @@
 
 void group_host::handle_join(monotonic_time now, const replica_id& joiner,
                              const std::string& address) {
-  if (failure_ || !replica_->is_leader() || !is_admitted(joiner.node)) return;
-  if (take_address(joiner, address)) {
+  if (failure_ || !replica_->is_leader() || !may_join(joiner.node)) return;
+  if (update_address(joiner, address)) {
     tick(now);
     return;
   }
@@ -191,14 +193,14 @@
     return it.id.node == joiner.node && !it.voter;
   });
   next.push_back({joiner, false, address});
-  const result<log_index> asked = replica_->propose_members(next);
-  if (asked) {
+  const result<log_index> proposed = replica_->propose_members(next);
+  if (proposed) {
     log_event(log_level::info, "learner-added", {{"replica", joiner.node}});
   }
   tick(now);
 }
 
-bool group_host::has_voter_of(const std::string& node) const {
+bool group_host::has_voter(const std::string& node) const {
   const member_list& members = replica_->members();
   return std::any_of(members.begin(), members.end(), [&node](const member& it) {
     return it.voter && it.id.node == node;
@@ -210,56 +212,60 @@
   // While the previous incarnation of this node is a voter, promoting the new
   // one would enlarge the quorum without adding a reachable voter: two of four
   // voters would be the same VM.
-  if (has_voter_of(learner.id.node)) return false;
-  const std::optional<monotonic_time> heard = replica_->last_heard(learner.id);
-  return heard && *heard + options_.member_silence > now &&
+  if (has_voter(learner.id.node)) return false;
+  const std::optional<monotonic_time> last_reply =
+      replica_->last_reply_at(learner.id);
+  return last_reply && *last_reply + options_.member_timeout > now &&
          replica_->caught_up(learner.id);
 }
 
-bool group_host::is_replaced(monotonic_time now, const member& it) const {
+bool group_host::is_superseded(monotonic_time now, const member& it) const {
   // Leaves a new member time for its first reply: until then, the incarnation
   // that it replaces has the later reply and would look like the newer one.
-  const bool heard = replica_->last_heard(it.id).has_value();
-  const monotonic_time patience =
-      replica_->known_since(it.id) + options_.member_silence;
-  if (!heard && now < patience) return false;
+  const bool has_replied = replica_->last_reply_at(it.id).has_value();
+  const monotonic_time reply_deadline =
+      replica_->replicating_since(it.id) + options_.member_timeout;
+  if (!has_replied && now < reply_deadline) return false;
   const member_list& members = replica_->members();
   // A node returns with a new incarnation only after the old one has stopped.
-  return std::any_of(
-      members.begin(), members.end(), [this, &it](const member& other) {
-        const bool same_node = other.id.node == it.id.node;
-        return same_node && other.id != it.id &&
-               replica_->last_heard(other.id) > replica_->last_heard(it.id);
-      });
+  return std::any_of(members.begin(), members.end(),
+                     [this, &it](const member& other) {
+                       const bool same_node = other.id.node == it.id.node;
+                       return same_node && other.id != it.id &&
+                              replica_->last_reply_at(other.id) >
+                                  replica_->last_reply_at(it.id);
+                     });
 }
 
 bool group_host::is_silent(monotonic_time now, const member& it,
-                           std::chrono::milliseconds longest) const {
-  const std::optional<monotonic_time> heard = replica_->last_heard(it.id);
-  const monotonic_time since = heard ? *heard : replica_->known_since(it.id);
-  return since + longest < now;
+                           std::chrono::milliseconds timeout) const {
+  const std::optional<monotonic_time> last_reply =
+      replica_->last_reply_at(it.id);
+  const monotonic_time since =
+      last_reply ? *last_reply : replica_->replicating_since(it.id);
+  return since + timeout < now;
 }
 
-bool group_host::is_surplus(monotonic_time now, const member& it) const {
-  if (!is_silent(now, it, open_->gone_after)) return false;
+bool group_host::is_removable(monotonic_time now, const member& it) const {
+  if (!is_silent(now, it, open_membership_->removal_timeout)) return false;
   if (!it.voter) return true;
   // An unreachable voter is removed only if enough other voters are live.
   std::size_t live = 0;
   for (const member& other : replica_->members()) {
     if (!other.voter || other.id == it.id) continue;
-    const bool heard =
-        other.id == self_ || !is_silent(now, other, options_.member_silence);
-    if (heard) ++live;
+    const bool is_live =
+        other.id == self_ || !is_silent(now, other, options_.member_timeout);
+    if (is_live) ++live;
   }
-  return live >= open_->least_voters;
+  return live >= open_membership_->min_voters;
 }
 
-bool group_host::must_leave(monotonic_time now, const member& it) const {
+bool group_host::must_remove(monotonic_time now, const member& it) const {
   if (it.id == self_) return false;
-  if (is_replaced(now, it)) return true;
-  if (open_) return is_surplus(now, it);
-  if (is_desired(it.id.node)) return false;
-  return it.voter || is_silent(now, it, options_.member_silence);
+  if (is_superseded(now, it)) return true;
+  if (open_membership_) return is_removable(now, it);
+  if (is_desired_voter(it.id.node)) return false;
+  return it.voter || is_silent(now, it, options_.member_timeout);
 }
 
 std::optional<member_list> group_host::next_members(monotonic_time now) const {
@@ -267,13 +273,13 @@
   // Removals come first: they need no more voters than before, while an
   // addition would require the new member besides all remaining ones.
   for (std::size_t i = 0; i < members.size(); ++i) {
-    if (!must_leave(now, members[i])) continue;
+    if (!must_remove(now, members[i])) continue;
     member_list next = members;
     next.erase(next.begin() + static_cast<std::ptrdiff_t>(i));
     return next;
   }
   for (std::size_t i = 0; i < members.size(); ++i) {
-    if (members[i].voter || !is_desired(members[i].id.node)) continue;
+    if (members[i].voter || !is_desired_voter(members[i].id.node)) continue;
     if (!ready_to_vote(now, members[i])) continue;
     member_list next = members;
     next[i].voter = true;
@@ -283,29 +289,29 @@
 }
 
 void group_host::adjust_members(monotonic_time now) {
-  const bool idle = desired_.empty() && !open_;
-  if (idle || replica_->members_change_pending() ||
-      !replica_->leads_settled()) {
+  const bool has_no_target = desired_voters_.empty() && !open_membership_;
+  if (has_no_target || replica_->members_change_pending() ||
+      !replica_->has_committed_in_term()) {
     return;
   }
   const std::optional<member_list> next = next_members(now);
   if (!next) return;
-  const result<log_index> asked = replica_->propose_members(*next);
-  if (asked) log_event(log_level::info, "group-members-changed");
+  const result<log_index> proposed = replica_->propose_members(*next);
+  if (proposed) log_event(log_level::info, "group-members-changed");
 }
 
-void group_host::drain() {
-  if (draining_) return;
-  draining_ = true;
-  while (!failure_ && replica_->has_output()) take_output();
-  if (!failure_) apply_some();
+void group_host::process_output() {
+  if (processing_output_) return;
+  processing_output_ = true;
+  while (!failure_ && replica_->has_output()) write_and_send();
+  if (!failure_) apply_committed();
   // Writes the output that the state machine has caused in the same iteration.
-  while (!failure_ && replica_->has_output()) take_output();
-  draining_ = false;
+  while (!failure_ && replica_->has_output()) write_and_send();
+  processing_output_ = false;
 }
 
-void group_host::take_output() {
-  const output out = replica_->take();
+void group_host::write_and_send() {
+  const output out = replica_->take_output();
   const result<void> saved = storage_->save(out.writes);
   if (!saved) {
     failure_ = saved.error();
@@ -313,7 +319,7 @@
               {{"detail", saved.error().message}});
     return;
   }
-  replica_->written();
+  replica_->mark_durable();
   for (const message& it : out.messages) sink_.send(it);
   queue_committed(out);
 }
@@ -327,19 +333,19 @@
     last_snapshot_bytes_ = out.restore->data.size();
   }
   to_apply_.insert(to_apply_.end(), out.committed.begin(), out.committed.end());
-  const log_index newest =
+  const log_index last_committed =
       to_apply_.empty() ? applied_ : to_apply_.back().index;
   for (const std::uint64_t token : out.reads_ready) {
     const auto it = std::find_if(
         reads_.begin(), reads_.end(),
         [token](const waiting_read& read) { return read.token == token; });
     if (it == reads_.end()) continue;
-    confirmed_reads_.push_back({newest, std::move(it->ready)});
+    confirmed_reads_.push_back({last_committed, std::move(it->ready)});
     reads_.erase(it);
   }
 }
 
-void group_host::apply_some() {
+void group_host::apply_committed() {
   std::size_t bytes = 0;
   while (!to_apply_.empty() && bytes <= options_.apply_bytes) {
     const entry it = std::move(to_apply_.front());
@@ -366,11 +372,11 @@
 
 void group_host::compact_if_due() {
   const log_index first = replica_->first_index();
-  const bool many = applied_ >= first + options_.snapshot_every;
-  const bool large =
+  const bool many_entries = applied_ >= first + options_.snapshot_every;
+  const bool many_bytes =
       bytes_since_snapshot_ >=
       std::max(options_.snapshot_bytes, 2 * last_snapshot_bytes_);
-  if (!many && !large) return;
+  if (!many_entries && !many_bytes) return;
   // Pending entries would be stored twice: by `compact` and by `save`.
   if (replica_->has_output()) return;
   bytes_since_snapshot_ = 0;
--- a/consensus/src/replica.cc
+++ b/consensus/src/replica.cc
@@ -11,7 +11,7 @@
 // The first election deadlines of voters that start at the same time are spaced
 // by the election timeout divided by this number, so that the first candidate's
 // request reaches the others before their own deadlines.
-constexpr int first_places_per_timeout = 5;
+constexpr int first_deadlines_per_timeout = 5;
 
 }  // namespace
 
@@ -25,8 +25,8 @@
       base_(std::move(state.base)),
       log_(std::move(state.entries)),
       commit_(base_.index),
-      handed_out_(base_.index),
-      leader_heard_at_(now) {
+      delivered_(base_.index),
+      last_leader_message_at_(now) {
   durable_ = last_index();
   durable_after_write_ = durable_;
   refresh_members();
@@ -44,13 +44,13 @@
   base_.term = 1;
   base_.members = std::move(members);
   commit_ = 1;
-  handed_out_ = 1;
+  delivered_ = 1;
   durable_after_write_ = 1;
   writes_.base = base_;
   writes_.hard = hard_;
   refresh_members();
   election_deadline_ = now_;
-  overdue_ = true;  // no other replica can lead
+  deadline_passed_ = true;  // no other replica can lead
   return {};
 }
 
@@ -59,7 +59,7 @@
     return fail(error_kind::not_found, "this replica belongs to no group",
                 "recover on a node that kept its disk");
   }
-  if (leader_is_fresh()) {
+  if (has_active_leader()) {
     return fail(error_kind::conflict, "the group has a leader",
                 "wait until the leader has added the lost nodes again");
   }
@@ -70,7 +70,7 @@
   // As the only voter it is the majority, so this entry commits the whole log.
   append(entry_type::membership, to_text(to_json(member_list{{self_, true}})));
   election_deadline_ = now_;
-  overdue_ = true;  // no other replica can lead
+  deadline_passed_ = true;  // no other replica can lead
   return {};
 }
 
@@ -83,20 +83,20 @@
     return;
   }
   if (now_ < election_deadline_ || !is_voter(self_)) {
-    overdue_ = false;
+    deadline_passed_ = false;
     return;
   }
-  const bool alone = quorum() == 1;  // there are no peers to wait for
-  if (alone || is_overdue_again()) start_pre_vote();
+  const bool is_only_voter = quorum() == 1;  // there are no peers to wait for
+  if (is_only_voter || is_second_overdue_tick()) start_pre_vote();
 }
 
-bool replica::is_overdue_again() {
+bool replica::is_second_overdue_tick() {
   // A process that was suspended notices the passed deadline before it reads
   // the messages that arrived in the meantime. It acts on the deadline only at
   // the second tick, after reading them.
-  const bool again = overdue_;
-  overdue_ = !again;
-  return again;
+  const bool was_overdue = deadline_passed_;
+  deadline_passed_ = !was_overdue;
+  return was_overdue;
 }
 
 void replica::receive(monotonic_time now, const message& in) {
@@ -123,7 +123,7 @@
   if (request != nullptr) {
     // While a leader is active, a vote request must not raise the term: a node
     // that was partitioned would depose a working leader.
-    if (request->pre_vote || leader_is_fresh()) return;
+    if (request->pre_vote || has_active_leader()) return;
   }
   const vote_reply* reply = std::get_if<vote_reply>(&in.body);
   if (reply != nullptr && reply->pre_vote && reply->granted) return;
@@ -140,7 +140,7 @@
   role_ = role::follower;
   leader_ = std::move(leader);
   pre_voting_ = false;
-  gave_way_ = false;
+  yielded_ = false;
   votes_.clear();
   peers_.clear();
   rounds_.clear();
@@ -149,7 +149,7 @@
 }
 
 void replica::reset_election_deadline() {
-  overdue_ = false;
+  deadline_passed_ = false;
   const std::int64_t base = options_.election_timeout.count();
   const std::uint64_t jitter =
       random_.below(static_cast<std::uint64_t>(base) + 1);
@@ -158,28 +158,28 @@
 }
 
 void replica::set_first_election_deadline() {
-  std::int64_t place = 0;
+  std::int64_t position = 0;
   for (const member& it : members_) {
     if (it.id == self_) break;
-    if (it.voter) ++place;
+    if (it.voter) ++position;
   }
   election_deadline_ =
       now_ + options_.election_timeout +
-      place * options_.election_timeout / first_places_per_timeout;
+      position * options_.election_timeout / first_deadlines_per_timeout;
 }
 
 void replica::set_candidate_deadline() {
   const std::int64_t base = options_.election_timeout.count() / 2;
   const std::uint64_t jitter =
       random_.below(static_cast<std::uint64_t>(base) / 2 + 1);
-  overdue_ = false;
+  deadline_passed_ = false;
   election_deadline_ = now_ + std::chrono::milliseconds(
                                   base + static_cast<std::int64_t>(jitter));
 }
 
-bool replica::leader_is_fresh() const {
+bool replica::has_active_leader() const {
   if (role_ == role::leader) return true;
-  return now_ < leader_heard_at_ + options_.election_timeout;
+  return now_ < last_leader_message_at_ + options_.election_timeout;
 }
 
 void replica::start_pre_vote() {
@@ -210,11 +210,11 @@
 }
 
 void replica::request_votes(bool pre_vote) {
-  const term_number asked = pre_vote ? hard_.term + 1 : hard_.term;
+  const term_number vote_term = pre_vote ? hard_.term + 1 : hard_.term;
   for (const member& it : members_) {
     if (it.id == self_ || !(it.voter || options_.learners_vote)) continue;
     const vote_request body{pre_vote, last_index(), term_at(last_index())};
-    messages_.push_back({hard_.group_id, self_, it.id, asked, body});
+    messages_.push_back({hard_.group_id, self_, it.id, vote_term, body});
   }
 }
 
@@ -225,28 +225,28 @@
   return body.last_index >= last_index();
 }
 
-void replica::give_way_to(const replica_id& candidate) {
-  if (gave_way_) return;
+void replica::yield_to(const replica_id& candidate) {
+  if (yielded_) return;
   if (pre_voting_) {
     // Of several simultaneous candidates only one continues.
     if (self_ < candidate) return;
     role_ = role::follower;
     pre_voting_ = false;
   }
-  gave_way_ = true;
+  yielded_ = true;
   set_candidate_deadline();
 }
 
 void replica::handle(const vote_request& body, const message& in) {
   // Whether this replica may vote is decided by the candidate's member list.
   // Its own list may be outdated, and is empty before the first entry.
-  bool granted = may_grant(body) && !leader_is_fresh();
+  bool granted = may_grant(body) && !has_active_leader();
   if (body.pre_vote) {
     granted = granted && in.term > hard_.term;
-    if (granted) give_way_to(in.from);
-    const term_number echoed = granted ? in.term : hard_.term;
-    messages_.push_back(
-        {hard_.group_id, self_, in.from, echoed, vote_reply{true, granted}});
+    if (granted) yield_to(in.from);
+    const term_number reply_term = granted ? in.term : hard_.term;
+    messages_.push_back({hard_.group_id, self_, in.from, reply_term,
+                         vote_reply{true, granted}});
     return;
   }
   granted = granted && in.term == hard_.term;
@@ -282,14 +282,14 @@
   role_ = role::leader;
   leader_ = self_;
   elected_at_ = now_;
-  overdue_ = false;
+  deadline_passed_ = false;
   peers_.clear();
   rounds_.clear();
   for (const member& it : members_) {
     if (it.id == self_) continue;
     progress peer;
     peer.next = last_index() + 1;
-    peer.known_since = now_;
+    peer.replicating_since = now_;
     peer.retry_at = now_;
     peers_.emplace(it.id, peer);
   }
@@ -298,19 +298,19 @@
 }
 
 void replica::check_quorum() {
-  std::size_t heard = is_voter(self_) ? 1 : 0;
+  std::size_t responsive = is_voter(self_) ? 1 : 0;
   const monotonic_time oldest = now_ - options_.election_timeout;
   if (elected_at_ > oldest) return;
   for (const member& it : members_) {
     if (!it.voter || it.id == self_) continue;
-    const std::optional<monotonic_time> at = last_heard(it.id);
-    if (at && *at > oldest) ++heard;
+    const std::optional<monotonic_time> at = last_reply_at(it.id);
+    if (at && *at > oldest) ++responsive;
   }
-  if (heard >= quorum()) {
-    overdue_ = false;
+  if (responsive >= quorum()) {
+    deadline_passed_ = false;
     return;
   }
-  if (is_overdue_again()) become_follower(hard_.term, std::nullopt);
+  if (is_second_overdue_tick()) become_follower(hard_.term, std::nullopt);
 }
 
 std::uint64_t replica::quorum_round() const {
@@ -342,7 +342,7 @@
   return false;
 }
 
-bool replica::leads_settled() const {
+bool replica::has_committed_in_term() const {
   return role_ == role::leader && term_at(commit_) == hard_.term;
 }
 
@@ -372,13 +372,14 @@
   return members_index_ > commit_;
 }
 
-bool replica::change_is_single(const member_list& next) const {
+bool replica::is_single_change(const member_list& next) const {
   // Quorums of two member lists overlap if their voters differ by at most one.
   std::size_t differences = 0;
   for (const member& it : members_) {
     if (!it.voter) continue;
-    const bool kept = std::find(next.begin(), next.end(), it) != next.end();
-    if (!kept) ++differences;
+    const bool is_unchanged =
+        std::find(next.begin(), next.end(), it) != next.end();
+    if (!is_unchanged) ++differences;
   }
   std::size_t voters = 0;
   for (const member& it : next) {
@@ -394,11 +395,11 @@
     return fail(error_kind::not_leader, "this replica is not the leader",
                 "send the change to the leader");
   }
-  if (members_change_pending() || !leads_settled()) {
+  if (members_change_pending() || !has_committed_in_term()) {
     return fail(error_kind::in_progress, "another member change is in progress",
                 "try again once it is committed");
   }
-  if (!change_is_single(members)) {
+  if (!is_single_change(members)) {
     return fail(error_kind::bad_input, "the change affects more than one voter",
                 "change one voter at a time");
   }
@@ -422,7 +423,7 @@
     if (it.id == self_ || peers_.contains(it.id)) continue;
     progress peer;
     peer.next = last_index() + 1;
-    peer.known_since = now_;
+    peer.replicating_since = now_;
     peer.retry_at = now_;
     peer.admitted_at = members_index_;
     peers_.emplace(it.id, peer);
@@ -433,15 +434,16 @@
                 });
 }
 
-std::optional<monotonic_time> replica::last_heard(const replica_id& id) const {
+std::optional<monotonic_time> replica::last_reply_at(
+    const replica_id& id) const {
   const auto it = peers_.find(id);
   if (it == peers_.end()) return std::nullopt;
-  return it->second.heard_at;
+  return it->second.reply_at;
 }
 
-monotonic_time replica::known_since(const replica_id& id) const {
+monotonic_time replica::replicating_since(const replica_id& id) const {
   const auto it = peers_.find(id);
-  return it == peers_.end() ? now_ : it->second.known_since;
+  return it == peers_.end() ? now_ : it->second.replicating_since;
 }
 
 bool replica::caught_up(const replica_id& id) const {
--- a/consensus/src/replication.cc
+++ b/consensus/src/replication.cc
@@ -113,7 +113,7 @@
   body.previous_term = term_at(peer.next - 1);
   body.commit = commit_;
   body.round = round_;
-  if (!awaits_probe(peer)) add_entries(body, peer);
+  if (!is_probe_in_flight(peer)) add_entries(body, peer);
   send(to, std::move(body));
 }
 
@@ -125,7 +125,7 @@
   }
   if (peer.probing) {
     peer.probed_from = peer.next;
-    peer.probe_again_at = now_ + options_.election_timeout;
+    peer.probe_retry_at = now_ + options_.election_timeout;
   } else {
     // Optimistic: if the message is lost, the follower rejects the next one.
     peer.next = end + 1;
@@ -143,9 +143,9 @@
   return end;
 }
 
-bool replica::awaits_probe(const progress& peer) const {
+bool replica::is_probe_in_flight(const progress& peer) const {
   return peer.probing && peer.probed_from == peer.next &&
-         now_ < peer.probe_again_at;
+         now_ < peer.probe_retry_at;
 }
 
 void replica::send_snapshot(const replica_id& to, progress& peer) {
@@ -164,16 +164,16 @@
     return;
   }
   become_follower(in.term, in.from);
-  leader_heard_at_ = now_;
+  last_leader_message_at_ = now_;
   if (body.previous_index < commit_ && body.entries.empty() &&
       body.previous_index < base_.index) {
     reply_append(in, true, commit_, body.round);
     return;
   }
-  const bool known = body.previous_index <= last_index() &&
-                     (body.previous_index <= base_.index ||
-                      term_at(body.previous_index) == body.previous_term);
-  if (!known) {
+  const bool log_matches = body.previous_index <= last_index() &&
+                           (body.previous_index <= base_.index ||
+                            term_at(body.previous_index) == body.previous_term);
+  if (!log_matches) {
     const log_index hint = std::min(
         last_index(),
         body.previous_index == 0 ? log_index{0} : body.previous_index - 1);
@@ -191,7 +191,7 @@
   const auto it = peers_.find(in.from);
   if (it == peers_.end()) return;
   progress& peer = it->second;
-  peer.heard_at = now_;
+  peer.reply_at = now_;
   peer.acked_round = std::max(peer.acked_round, body.round);
   if (body.accepted) {
     peer.probing = false;
@@ -206,8 +206,8 @@
     // A rejection without new information waits for the next heartbeat;
     // otherwise duplicated messages would multiply. A snapshot waits for its
     // retry time.
-    const bool learned = peer.next < before;
-    if (learned && (!needs_snapshot || now_ >= peer.retry_at)) {
+    const bool made_progress = peer.next < before;
+    if (made_progress && (!needs_snapshot || now_ >= peer.retry_at)) {
       replicate_to(in.from, true);
     }
   }
@@ -221,7 +221,7 @@
     return;
   }
   become_follower(in.term, in.from);
-  leader_heard_at_ = now_;
+  last_leader_message_at_ = now_;
   if (body.state.index <= commit_) {
     reply_append(in, true, commit_, body.round);
     return;
@@ -242,7 +242,7 @@
   writes_.hard = hard_;
   restore_ = base_;
   commit_ = base_.index;
-  handed_out_ = base_.index;
+  delivered_ = base_.index;
   durable_after_write_ = base_.index;
   refresh_members();
   reply_append(in, true, base_.index, body.round);
@@ -262,16 +262,16 @@
   }
   if (matches.empty()) return;
   std::sort(matches.begin(), matches.end(), std::greater<>());
-  const log_index agreed = matches[quorum() - 1];
+  const log_index quorum_match = matches[quorum() - 1];
   // Only entries of the leader's own term are committed by counting; earlier
   // entries are committed along with them.
-  if (agreed <= commit_ || term_at(agreed) != hard_.term) return;
+  if (quorum_match <= commit_ || term_at(quorum_match) != hard_.term) return;
   const log_index before = commit_;
-  commit_to(agreed);
-  write_to_admitted(before);
+  commit_to(quorum_match);
+  send_to_admitted(before);
 }
 
-void replica::write_to_admitted(log_index before) {
+void replica::send_to_admitted(log_index before) {
   if (role_ != role::leader) return;
   for (const member& it : members_) {
     const auto found = peers_.find(it.id);
@@ -291,7 +291,7 @@
 }
 
 result<void> replica::request_read(std::uint64_t token) {
-  if (!leads_settled()) {
+  if (!has_committed_in_term()) {
     return fail(error_kind::not_leader, "this replica is not the leader",
                 "read from the leader");
   }
@@ -312,29 +312,29 @@
 
 bool replica::has_output() const {
   return !writes_.empty() || !messages_.empty() || restore_ ||
-         handed_out_ < commit_ || !reads_ready_.empty();
+         delivered_ < commit_ || !reads_ready_.empty();
 }
 
-output replica::take() {
+output replica::take_output() {
   output out;
   out.writes = std::exchange(writes_, {});
   out.messages = std::exchange(messages_, {});
   out.restore = std::exchange(restore_, std::nullopt);
   out.reads_ready = std::exchange(reads_ready_, {});
-  while (handed_out_ < commit_) {
-    ++handed_out_;
-    out.committed.push_back(entry_at(handed_out_));
+  while (delivered_ < commit_) {
+    ++delivered_;
+    out.committed.push_back(entry_at(delivered_));
   }
   return out;
 }
 
-void replica::written() {
+void replica::mark_durable() {
   durable_ = durable_after_write_;
   advance_commit();
 }
 
 snapshot replica::compact(log_index index, std::string data) {
-  const log_index end = std::min(index, handed_out_);
+  const log_index end = std::min(index, delivered_);
   if (end <= base_.index) return base_;
   member_list members = base_.members;
   for (const entry& it : log_) {
--- a/consensus/test/file_storage-test.cc
+++ b/consensus/test/file_storage-test.cc
@@ -49,7 +49,7 @@
   EXPECT_EQ(state->entries[4].data, "entry 5");
 }
 
-TEST_F(file_storage_test, cuts_a_torn_tail_at_every_length) {
+TEST_F(file_storage_test, truncates_an_incomplete_record_of_any_length) {
   write_entries(1, 3);
   const std::uintmax_t whole = std::filesystem::file_size(log());
   write_entries(4, 4);
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_F(file_storage_test, refuses_damage_before_the_tail_with_a_remedy) {
+TEST_F(file_storage_test, reports_damage_before_the_last_record_with_a_remedy) {
   write_entries(1, 5);
   const std::uintmax_t size = std::filesystem::file_size(log());
   for (std::uintmax_t at = 0; at < size / 2; at += 7) {
@@ -156,7 +156,7 @@
   disk_fault fault_;
 };
 
-TEST_F(file_storage_test, after_a_failure_nothing_is_acknowledged_again) {
+TEST_F(file_storage_test, after_a_failure_every_save_fails) {
   for (const disk_fault fault : {disk_fault::full, disk_fault::failed_sync}) {
     const std::shared_ptr<failing_operations> operations =
         std::make_shared<failing_operations>(fault);
@@ -174,7 +174,7 @@
   }
 }
 
-TEST_F(file_storage_test, a_hole_in_the_last_save_is_no_damage) {
+TEST_F(file_storage_test, a_gap_in_the_last_save_is_not_damage) {
   write_entries(1, 3);
   const std::uintmax_t whole = std::filesystem::file_size(log());
   {
@@ -200,7 +200,7 @@
 }
 
 /// A state machine that records the applied commands.
-class counting_machine final : public state_machine {
+class recording_machine final : public state_machine {
  public:
   void apply(const entry& committed) override {
     seen.push_back(committed.data);
@@ -211,16 +211,16 @@
   std::vector<std::string> seen;
 };
 
-class null_sink final : public message_sink {
+class discarding_sink final : public message_sink {
  public:
   void send(const message&) override {}
 };
 
-TEST_F(file_storage_test, a_group_goes_on_after_its_disk_was_full) {
+TEST_F(file_storage_test, a_group_restarts_after_its_disk_was_full) {
   const std::shared_ptr<failing_operations> operations =
       std::make_shared<failing_operations>(disk_fault::full);
-  counting_machine machine;
-  null_sink sink;
+  recording_machine machine;
+  discarding_sink sink;
   seeded_random random(1);
   const monotonic_time now{std::chrono::hours(1)};
   const replica_id self{"a", 1};
@@ -245,7 +245,7 @@
   EXPECT_EQ(machine.seen, expected);
 }
 
-TEST_F(file_storage_test, a_folder_has_one_user_and_one_identity) {
+TEST_F(file_storage_test, a_folder_has_one_process_and_one_incarnation) {
   seeded_random random(1);
   const result<unique_fd> first = lock_folder(folder_);
   ASSERT_TRUE(first);
--- a/consensus/test/group_growth-test.cc
+++ b/consensus/test/group_formation-test.cc
@@ -1,6 +1,6 @@
-// Tests of `group_growth`: the addresses of members, and when a new group may
-// acknowledge changes.
-#include "trestlepost/consensus/group_growth.h"
+// Tests of `group_formation`: the addresses of members, and when a new group
+// may acknowledge changes.
+#include "trestlepost/consensus/group_formation.h"
 
 #include <gtest/gtest.h>
 
@@ -13,14 +13,14 @@
 
 using std::chrono::milliseconds;
 
-class silent_machine final : public state_machine {
+class null_machine final : public state_machine {
  public:
   void apply(const entry&) override {}
   std::string save() const override { return {}; }
   void load(std::string_view) override {}
 };
 
-class closed_sink final : public message_sink {
+class discarding_sink final : public message_sink {
  public:
   void send(const message&) override {}
 };
@@ -33,51 +33,54 @@
     host.found(now, "group", {{{"a", 1}, true, "address of a"}});
   }
 
-  silent_machine machine;
-  closed_sink sink;
+  null_machine machine;
+  discarding_sink sink;
   seeded_random random{1};
   simulated_disk disk;
   monotonic_time now{milliseconds(1000)};
   group_host host{{"a", 1}, {},   std::make_unique<simulated_storage>(disk),
                   machine,  sink, random};
-  std::map<std::string, std::string> heard_from;
-  group_growth growth{heard_from};
+  std::map<std::string, std::string> sender_addresses;
+  group_formation growth{sender_addresses};
 };
 
-TEST(group_growth_test, a_founder_acknowledges_nothing_before_its_first_tick) {
+TEST(group_formation_test,
+     a_group_is_not_formed_before_the_founders_first_tick) {
   founded_group group;
   ASSERT_TRUE(group.host.holds_lease(group.now));
-  EXPECT_FALSE(group.growth.has_grown(group.host, group.now, 3));
+  EXPECT_FALSE(group.growth.is_formed(group.host, group.now, 3));
 }
 
-TEST(group_growth_test, a_founder_waits_for_voters_and_not_for_ever) {
+TEST(group_formation_test, a_founder_waits_for_voters_for_a_limited_time) {
   founded_group group;
-  group.growth.observe(group.host, group.now, true, "address of a");
+  group.growth.update(group.host, group.now, true, "address of a");
   group.now += milliseconds(5999);
-  EXPECT_FALSE(group.growth.has_grown(group.host, group.now, 3));
-  EXPECT_TRUE(group.growth.has_grown(group.host, group.now, 1));
+  EXPECT_FALSE(group.growth.is_formed(group.host, group.now, 3));
+  EXPECT_TRUE(group.growth.is_formed(group.host, group.now, 1));
   group.now += milliseconds(1);
-  EXPECT_TRUE(group.growth.has_grown(group.host, group.now, 3));
+  EXPECT_TRUE(group.growth.is_formed(group.host, group.now, 3));
 }
 
-TEST(group_growth_test, an_exchanged_machine_is_reached_where_it_asks_from) {
+TEST(group_formation_test,
+     a_replaced_node_gets_the_address_of_its_join_request) {
   founded_group group;
-  group.growth.heard(group.host, group.now, {"b", 1}, "former address");
+  group.growth.record_address(group.host, group.now, {"b", 1},
+                              "former address");
   group.growth.handle_join(group.host, group.now, {"b", 2}, "new address");
   EXPECT_EQ(group.growth.address_of(group.host, "b"), "new address");
 }
 
-TEST(group_growth_test, a_moved_member_is_listed_where_it_writes_from) {
+TEST(group_formation_test, a_member_with_a_new_address_is_updated_in_the_list) {
   founded_group group;
   group.growth.handle_join(group.host, group.now, {"b", 1}, "former address");
   ASSERT_EQ(group.host.find_member("b")->address, "former address");
-  group.growth.heard(group.host, group.now, {"b", 1}, "new address");
+  group.growth.record_address(group.host, group.now, {"b", 1}, "new address");
   EXPECT_EQ(group.host.find_member("b")->address, "new address");
 }
 
-TEST(group_growth_test, a_moved_leader_lists_itself_where_it_listens) {
+TEST(group_formation_test, a_leader_with_a_new_address_updates_the_list) {
   founded_group group;
-  group.growth.observe(group.host, group.now, true, "new address");
+  group.growth.update(group.host, group.now, true, "new address");
   EXPECT_EQ(group.host.find_member("a")->address, "new address");
 }
 
--- a/consensus/test/group_host-test.cc
+++ b/consensus/test/group_host-test.cc
@@ -17,7 +17,7 @@
 constexpr milliseconds step_time{20};
 constexpr int settling_steps = 500;
 
-class empty_machine final : public state_machine {
+class null_machine final : public state_machine {
  public:
   void apply(const entry& /*committed*/) override {}
   std::string save() const override { return "{}"; }
@@ -28,7 +28,7 @@
  public:
   struct node {
     simulated_disk disk;
-    empty_machine machine;
+    null_machine machine;
     std::unique_ptr<group_host> host;
   };
 
@@ -45,14 +45,15 @@
   }
 
   void send(const message& out) override {
-    const bool far = out.from.node == far_ || out.to.node == far_;
-    packets_.push_back({out, far ? now_ + way_ : now_});
+    const bool is_distant =
+        out.from.node == distant_ || out.to.node == distant_;
+    packets_.push_back({out, is_distant ? now_ + latency_ : now_});
   }
 
-  /// Delays messages from and to `name` by `way`.
-  void set_far(const std::string& name, milliseconds way) {
-    far_ = name;
-    way_ = way;
+  /// Delays messages from and to `name` by `latency`.
+  void set_latency(const std::string& name, milliseconds latency) {
+    distant_ = name;
+    latency_ = latency;
   }
 
   group_host& host(const std::string& name) { return *nodes_[name].host; }
@@ -94,7 +95,7 @@
   /// Whether two incarnations of one node are voters. The lost one counts for
   /// the quorum but cannot vote, so losing one more voter would cost the
   /// majority.
-  bool has_two_votes_of_a_node() {
+  bool has_two_voters_on_a_node() {
     const group_host* leader = leading();
     if (leader == nullptr) return false;
     std::map<std::string, int> votes;
@@ -166,8 +167,8 @@
   std::uint64_t next_incarnation_ = 1;
   std::map<std::string, node> nodes_;
   std::deque<packet> packets_;
-  std::string far_;
-  milliseconds way_{0};
+  std::string distant_;
+  milliseconds latency_{0};
 };
 
 TEST(group_host_test, a_lost_disk_is_replaced) {
@@ -177,7 +178,8 @@
   EXPECT_TRUE(it.run([&] { return it.has_three_voters(); }));
 }
 
-TEST(group_host_test, a_newcomer_votes_only_once_the_one_it_succeeds_has_left) {
+TEST(group_host_test,
+     a_new_incarnation_votes_only_after_the_old_one_is_removed) {
   // The leader itself loses its disk, so the next leader has never received a
   // reply of the old incarnation.
   group it("b");
@@ -185,7 +187,7 @@
   it.start("b");
   bool two_votes = false;
   EXPECT_TRUE(it.run([&] {
-    two_votes = two_votes || it.has_two_votes_of_a_node();
+    two_votes = two_votes || it.has_two_voters_on_a_node();
     return it.has_three_voters();
   }));
   EXPECT_FALSE(two_votes);
@@ -193,31 +195,32 @@
 
 /// Whether a distant node is added again. Its replies arrive after the nearby
 /// voter's reply has committed its addition.
-bool replaces_far_disk(bool open) {
+bool replaces_disk_of_distant_node(bool open) {
   group it("a", open);
-  it.set_far("b", milliseconds(60));
+  it.set_latency("b", milliseconds(60));
   EXPECT_TRUE(it.run([&] { return it.has_three_voters(); }));
   it.lose_disk("b");
   it.start("b");
   return it.run([&] { return it.has_three_voters(); });
 }
 
-TEST(group_host_test, a_lost_disk_far_away_is_replaced) {
-  EXPECT_TRUE(replaces_far_disk(false));
+TEST(group_host_test, a_lost_disk_of_a_distant_node_is_replaced) {
+  EXPECT_TRUE(replaces_disk_of_distant_node(false));
 }
 
-TEST(group_host_test, a_lost_disk_far_away_is_replaced_in_an_open_group) {
-  EXPECT_TRUE(replaces_far_disk(true));
+TEST(group_host_test,
+     a_lost_disk_of_a_distant_node_is_replaced_in_an_open_group) {
+  EXPECT_TRUE(replaces_disk_of_distant_node(true));
 }
 
-TEST(group_host_test, a_newcomer_that_never_answers_leaves) {
+TEST(group_host_test, a_member_that_never_replies_is_removed) {
   group it("a");
   it.host("a").handle_join(it.now(), {"b", 99});
   ASSERT_EQ(it.members(), 4U);
   EXPECT_TRUE(it.run([&] { return it.has_three_voters(); }));
 }
 
-TEST(group_host_test, a_leader_that_recovers_takes_in_nodes_that_asked_before) {
+TEST(group_host_test, a_recovered_leader_adds_nodes_that_asked_before) {
   group it("c");
   for (const char* name : {"a", "b"}) it.lose_disk(name);
   for (const char* name : {"a", "b"}) it.start(name);
--- a/consensus/test/log_replay-test.cc
+++ b/consensus/test/log_replay-test.cc
@@ -20,7 +20,7 @@
 constexpr milliseconds step_time{20};
 constexpr std::size_t command_bytes = 200'000;
 constexpr std::size_t commands = 12;
-constexpr std::size_t most_bytes_a_turn = 2 * command_bytes;
+constexpr std::size_t max_bytes_per_tick = 2 * command_bytes;
 
 class counting_machine final : public state_machine {
  public:
@@ -37,7 +37,7 @@
   std::size_t bytes_ = 0;
 };
 
-class deaf_sink final : public message_sink {
+class discarding_sink final : public message_sink {
  public:
   void send(const message& /*out*/) override {}
 };
@@ -50,9 +50,9 @@
 }
 
 /// The only replica of its group.
-class lone_replica {
+class single_replica {
  public:
-  explicit lone_replica(simulated_disk& disk)
+  explicit single_replica(simulated_disk& disk)
       : host_({"a", 1}, without_snapshots(),
               std::make_unique<simulated_storage>(disk), machine_, sink_,
               random_) {
@@ -77,13 +77,13 @@
  private:
   seeded_random random_{1};
   counting_machine machine_;
-  deaf_sink sink_;
+  discarding_sink sink_;
   monotonic_time now_;
   group_host host_;
 };
 
 void fill(simulated_disk& disk) {
-  lone_replica it(disk);
+  single_replica it(disk);
   ASSERT_TRUE(it.host().found(it.now(), "group", {{{"a", 1}, true}}));
   ASSERT_TRUE(it.run([&it] { return it.leads(); }));
   for (std::size_t n = 0; n < commands; ++n) {
@@ -92,35 +92,35 @@
   ASSERT_TRUE(it.run([&it] { return it.machine().has_all(); }));
 }
 
-TEST(log_replay_test, a_long_log_is_applied_a_part_in_each_turn) {
+TEST(log_replay_test, a_long_log_is_applied_over_several_ticks) {
   simulated_disk disk;
   fill(disk);
-  lone_replica it(disk);
-  std::size_t most = 0;
-  for (int turn = 0; turn < 500 && !it.machine().has_all(); ++turn) {
+  single_replica it(disk);
+  std::size_t max_bytes = 0;
+  for (int tick = 0; tick < 500 && !it.machine().has_all(); ++tick) {
     const std::size_t before = it.machine().bytes();
     it.tick();
-    most = std::max(most, it.machine().bytes() - before);
+    max_bytes = std::max(max_bytes, it.machine().bytes() - before);
   }
   EXPECT_TRUE(it.machine().has_all());
-  EXPECT_LE(most, most_bytes_a_turn);
+  EXPECT_LE(max_bytes, max_bytes_per_tick);
 }
 
 TEST(log_replay_test, nothing_is_confirmed_before_the_log_is_applied) {
   simulated_disk disk;
   fill(disk);
-  lone_replica it(disk);
+  single_replica it(disk);
   ASSERT_TRUE(it.run([&it] { return it.host().core().is_leader(); }));
   bool read = false;
-  bool asked = false;
+  bool requested = false;
   const bool done = it.run([&] {
     const bool all = it.machine().has_all();
     EXPECT_TRUE(all || !it.leads());
     EXPECT_TRUE(all || !read);
-    if (!asked) {
-      asked = it.host()
-                  .request_read(it.now(), 1, [&read] { read = true; })
-                  .has_value();
+    if (!requested) {
+      requested = it.host()
+                      .request_read(it.now(), 1, [&read] { read = true; })
+                      .has_value();
     }
     return read && it.leads();
   });
--- a/consensus/test/replica-test.cc
+++ b/consensus/test/replica-test.cc
@@ -27,7 +27,7 @@
   return state;
 }
 
-TEST(replica_test, an_empty_replica_never_stands_for_election) {
+TEST(replica_test, an_empty_replica_starts_no_election) {
   seeded_random random(1);
   monotonic_time now;
   replica it(id_a, {}, {}, random, now);
@@ -40,14 +40,14 @@
   seeded_random random(1);
   replica it(id_a, {}, {}, random, monotonic_time());
   EXPECT_TRUE(it.found("group", {{id_a, true}}));
-  it.take();
-  it.written();
+  it.take_output();
+  it.mark_durable();
   const result<void> again = it.found("other", {{id_a, true}});
   ASSERT_FALSE(again);
   EXPECT_EQ(again.error().kind, error_kind::conflict);
 }
 
-TEST(replica_test, a_voter_grants_one_vote_a_term) {
+TEST(replica_test, a_voter_grants_one_vote_per_term) {
   seeded_random random(1);
   monotonic_time now;
   replica it(id_a, {}, founded_state(), random, now);
@@ -56,7 +56,7 @@
   const message second{"group", {"c", 1}, id_a, 5, vote_request{false, 1, 1}};
   it.receive(now, first);
   it.receive(now, second);
-  const output out = it.take();
+  const output out = it.take_output();
   ASSERT_TRUE(out.writes.hard);
   EXPECT_EQ(out.writes.hard->voted_for, id_b);
   ASSERT_EQ(out.messages.size(), 2U);
@@ -73,12 +73,12 @@
   EXPECT_EQ(it.term(), 0U);
 }
 
-TEST(replica_test, a_fresh_leader_is_not_deposed_by_a_higher_term) {
+TEST(replica_test, a_vote_request_does_not_depose_an_active_leader) {
   seeded_random random(1);
   const monotonic_time now;
   replica it(id_a, {}, founded_state(), random, now);
   it.receive(now, {"group", id_b, id_a, 1, append_request{1, 1, 1, 1, {}}});
-  it.take();
+  it.take_output();
   it.receive(now, {"group", {"c", 1}, id_a, 9, vote_request{false, 9, 9}});
   EXPECT_EQ(it.term(), 1U);
   EXPECT_EQ(it.leader(), id_b);
@@ -91,22 +91,22 @@
   const append_request entries{
       1, 1, 1, 1, {{2, 1, entry_type::noop, ""}, {3, 1, entry_type::noop, ""}}};
   it.receive(now, {"group", id_b, id_a, 1, entries});
-  it.take();
-  it.written();
+  it.take_output();
+  it.mark_durable();
   const snapshot late{2, 1, two_voters(), "state"};
   it.receive(now, {"group", id_b, id_a, 1, snapshot_request{1, late}});
   EXPECT_EQ(it.last_index(), 3U);
-  EXPECT_FALSE(it.take().restore);
+  EXPECT_FALSE(it.take_output().restore);
 }
 
-TEST(replica_test, a_follower_reads_what_arrived_before_it_stands) {
+TEST(replica_test, a_suspended_follower_reads_messages_before_an_election) {
   seeded_random random(1);
   monotonic_time now;
   replica it(id_a, {}, founded_state(), random, now);
   const message heartbeat{"group", id_b, id_a, 1,
                           append_request{1, 1, 1, 1, {}}};
   it.receive(now, heartbeat);
-  it.take();
+  it.take_output();
   // The process is suspended while heartbeats wait in its queue.
   it.tick(now += milliseconds(5000));
   EXPECT_EQ(it.current_role(), role::follower);
@@ -121,7 +121,7 @@
   EXPECT_EQ(it.current_role(), role::candidate);
 }
 
-TEST(replica_test, a_leader_reads_what_arrived_before_it_steps_down) {
+TEST(replica_test, a_suspended_leader_reads_messages_before_it_steps_down) {
   seeded_random random(1);
   monotonic_time now;
   replica it(id_a, {}, founded_state(), random, now);
@@ -154,7 +154,7 @@
   return std::chrono::duration_cast<milliseconds>(now - start);
 }
 
-TEST(replica_test, voters_that_start_together_stand_in_their_order) {
+TEST(replica_test, voters_started_together_start_elections_in_list_order) {
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     const milliseconds a = first_pre_vote(id_a, seed);
     EXPECT_LE(a, milliseconds(1002));
@@ -162,14 +162,14 @@
   }
 }
 
-TEST(replica_test, a_pre_vote_that_was_not_granted_is_soon_repeated) {
+TEST(replica_test, a_rejected_pre_vote_is_repeated_soon) {
   seeded_random random(1);
   monotonic_time now;
   replica it(id_a, {}, founded_state(), random, now);
   const auto wait_for_request = [&it, &now] {
     const monotonic_time from = now;
     while (!it.has_output()) it.tick(now += milliseconds(1));
-    const output out = it.take();
+    const output out = it.take_output();
     EXPECT_TRUE(std::get<vote_request>(out.messages.at(0).body).pre_vote);
     return now - from;
   };
@@ -181,7 +181,7 @@
   EXPECT_EQ(it.term(), 1U);
 }
 
-TEST(replica_test, a_candidate_that_never_wins_does_not_keep_others_from_it) {
+TEST(replica_test, a_candidate_without_replies_does_not_block_others) {
   // The candidate's requests arrive but the replies to it do not, as when links
   // fail in one direction. It keeps asking.
   seeded_random random(1);
@@ -189,9 +189,9 @@
   durable_state state = founded_state();
   state.base.members.push_back({{"c", 1}, true});
   replica it(id_b, {}, state, random, now);
-  const message deaf{"group", id_a, id_b, 2, vote_request{true, 1, 1}};
-  const auto stands = [&it] {
-    const output out = it.take();
+  const message request{"group", id_a, id_b, 2, vote_request{true, 1, 1}};
+  const auto starts_election = [&it] {
+    const output out = it.take_output();
     return std::any_of(out.messages.begin(), out.messages.end(),
                        [](const message& one) {
                          return std::holds_alternative<vote_request>(one.body);
@@ -200,8 +200,8 @@
   int rounds = 0;
   for (int i = 0; i < 200; ++i) {
     it.tick(now += milliseconds(25));
-    if (i % 10 == 0) it.receive(now, deaf);
-    if (stands()) ++rounds;
+    if (i % 10 == 0) it.receive(now, request);
+    if (starts_election()) ++rounds;
   }
   EXPECT_GE(rounds, 2);
   // The pre-vote of one more voter then starts its election.
@@ -209,11 +209,11 @@
   EXPECT_EQ(it.term(), 2U);
 }
 
-/// Two of three voters whose leader is lost. Messages take `way`.
-class survivors {
+/// Two of three voters whose leader is lost. Messages take `latency`.
+class surviving_pair {
  public:
-  explicit survivors(std::uint64_t seed, milliseconds way)
-      : random_(seed), way_(way) {
+  explicit surviving_pair(std::uint64_t seed, milliseconds latency)
+      : random_(seed), latency_(latency) {
     durable_state state = founded_state();
     state.base.members.push_back({id_lost, true});
     for (const replica_id& it : {id_a, id_b}) {
@@ -223,7 +223,7 @@
     for (replica& it : replicas_) {
       it.receive(now_, {"group", id_lost, it.self(), 1,
                         append_request{1, 1, 1, 1, {}}});
-      it.take();
+      it.take_output();
     }
   }
 
@@ -260,28 +260,28 @@
   }
 
   void send(replica& from) {
-    output out = from.take();
-    from.written();
+    output out = from.take_output();
+    from.mark_durable();
     for (message& it : out.messages) {
-      packets_.push_back({now_ + way_, std::move(it)});
+      packets_.push_back({now_ + latency_, std::move(it)});
     }
   }
 
   inline static const replica_id id_lost{"c", 1};
   seeded_random random_;
-  milliseconds way_;
+  milliseconds latency_;
   monotonic_time now_;
   std::vector<replica> replicas_;
   std::deque<packet> packets_;
 };
 
-TEST(replica_test, two_survivors_agree_on_a_leader_within_three_timeouts) {
+TEST(replica_test, two_survivors_elect_a_leader_within_three_timeouts) {
   const replica_options options;
-  for (const int way_ms : {1, 25, 100}) {
+  for (const int latency_ms : {1, 25, 100}) {
     for (std::uint64_t seed = 0; seed < 1000; ++seed) {
-      survivors it(seed, milliseconds(way_ms));
+      surviving_pair it(seed, milliseconds(latency_ms));
       ASSERT_LT(it.time_to_leader(), 3 * options.election_timeout)
-          << "seed " << seed << ", way " << way_ms << " ms";
+          << "seed " << seed << ", way " << latency_ms << " ms";
     }
   }
 }
@@ -314,30 +314,30 @@
 
 /// The leader of three replicas, with commands in its log that b lacks; c
 /// replies.
-class leader_with_a_log {
+class leader_with_log {
  public:
-  leader_with_a_log(std::size_t commands, std::size_t bytes)
+  leader_with_log(std::size_t commands, std::size_t bytes)
       : replica_(id_a, {}, make_state(commands, bytes), random_, now_) {
     replica_.tick(now_ += milliseconds(2500));
     replica_.tick(now_ += milliseconds(20));
     from_c(vote_reply{true, true});
     from_c(vote_reply{false, true});
     EXPECT_TRUE(replica_.is_leader());
-    take();
+    take_output();
     from_c(append_reply{true, replica_.last_index(), 1});
-    take();
+    take_output();
   }
 
   /// b has only the founding entry.
-  output refused_by_b() { return from(id_b, append_reply{false, 1, 0}); }
-  output confirmed_by_b() { return from(id_b, append_reply{true, 1, 0}); }
+  output reject_by_b() { return from(id_b, append_reply{false, 1, 0}); }
+  output confirm_by_b() { return from(id_b, append_reply{true, 1, 0}); }
 
   output tick() {
     now_ += milliseconds(100);
     from_c(append_reply{true, replica_.last_index(), ++round_});
-    take();
+    take_output();
     replica_.tick(now_);
-    return take();
+    return take_output();
   }
 
  private:
@@ -353,13 +353,13 @@
 
   output from(const replica_id& who, message_body body) {
     replica_.receive(now_, {"group", who, id_a, own_term, body});
-    return take();
+    return take_output();
   }
   void from_c(message_body body) { from(id_c, std::move(body)); }
 
-  output take() {
-    output out = replica_.take();
-    replica_.written();
+  output take_output() {
+    output out = replica_.take_output();
+    replica_.mark_durable();
     return out;
   }
 
@@ -373,9 +373,9 @@
 
 // A follower that took long to process entries was sent the same entries with
 // each heartbeat, which slowed it down further.
-TEST(replica_test, what_a_follower_lacks_goes_out_once_in_an_election_timeout) {
-  leader_with_a_log it(5, 10);
-  std::size_t sent = commands_to(id_b, it.refused_by_b());
+TEST(replica_test, missing_entries_are_sent_once_per_election_timeout) {
+  leader_with_log it(5, 10);
+  std::size_t sent = commands_to(id_b, it.reject_by_b());
   EXPECT_EQ(sent, 5U);
   for (int beat = 0; beat < 9; ++beat) sent += commands_to(id_b, it.tick());
   EXPECT_EQ(sent, 5U);
@@ -386,16 +386,16 @@
 
 // All entries that a follower lacked used to be sent in one message. Links
 // rejected it above 64 MB, and smaller ones took seconds to process.
-TEST(replica_test, a_long_log_goes_out_in_messages_of_bounded_size) {
+TEST(replica_test, a_long_log_is_sent_in_messages_of_bounded_size) {
   constexpr std::size_t half_limit = 512UL * 1024;
-  leader_with_a_log it(6, half_limit);
-  std::size_t most = longest_message(it.refused_by_b());
-  most = std::max(most, longest_message(it.confirmed_by_b()));
+  leader_with_log it(6, half_limit);
+  std::size_t most = longest_message(it.reject_by_b());
+  most = std::max(most, longest_message(it.confirm_by_b()));
   EXPECT_GT(most, 0U);
   EXPECT_LE(most, 2 * half_limit);
 }
 
-TEST(message_test, survives_its_encoding) {
+TEST(message_test, a_message_survives_encoding) {
   append_request body{4, 2, 3, 7, {{5, 2, entry_type::command, "x\"\n"}}};
   const message sent{"group", id_a, id_b, 2, body};
   const result<message> received = message_from(to_json(sent));
@@ -404,7 +404,7 @@
   EXPECT_EQ(std::get<append_request>(received->body).entries, body.entries);
 }
 
-TEST(message_test, damaged_messages_are_refused) {
+TEST(message_test, invalid_messages_are_rejected) {
   const message sent{
       "group", id_a, id_b, 2,
       append_request{4, 2, 3, 7, {{6, 2, entry_type::noop, ""}}}};
--- a/consensus/test/simulated_disk.cc
+++ b/consensus/test/simulated_disk.cc
@@ -22,20 +22,20 @@
 
 /// Truncates entries after a save that never reached the disk, as
 /// `file_storage` does.
-void cut_after_hole(durable_state& state) {
+void truncate_after_gap(durable_state& state) {
   log_index next = state.base.index + 1;
-  const auto hole =
+  const auto gap =
       std::find_if(state.entries.begin(), state.entries.end(),
                    [&next](const entry& it) { return it.index != next++; });
-  state.entries.erase(hole, state.entries.end());
+  state.entries.erase(gap, state.entries.end());
 }
 
 }  // namespace
 
 result<durable_state> simulated_storage::load() {
-  cut_after_hole(disk_.state);
-  live_ = disk_.state;
-  return live_;
+  truncate_after_gap(disk_.state);
+  buffered_ = disk_.state;
+  return buffered_;
 }
 
 result<void> simulated_storage::save(const write_batch& batch) {
@@ -48,8 +48,8 @@
     if (!torn.base) apply_batch(torn, disk_.state);
     throw crash_signal();
   }
-  apply_batch(batch, live_);
-  if (!disk_.skip_sync || batch.base) disk_.state = live_;
+  apply_batch(batch, buffered_);
+  if (!disk_.skip_sync || batch.base) disk_.state = buffered_;
   if (disk_.crash_after_sync >= 0 && disk_.crash_after_sync-- == 0) {
     throw crash_signal();
   }
@@ -59,8 +59,8 @@
 result<void> simulated_storage::compact(const snapshot& base,
                                         const hard_state& hard,
                                         const std::vector<entry>& entries) {
-  live_ = durable_state{hard, base, entries};
-  disk_.state = live_;
+  buffered_ = durable_state{hard, base, entries};
+  disk_.state = buffered_;
   return {};
 }
 
--- a/consensus/test/simulated_disk.h
+++ b/consensus/test/simulated_disk.h
@@ -32,7 +32,7 @@
 
  private:
   simulated_disk& disk_;
-  durable_state live_;
+  durable_state buffered_;
 };
 
 }  // namespace trestlepost::consensus::test
--- a/consensus/test/simulation-test.cc
+++ b/consensus/test/simulation-test.cc
@@ -9,11 +9,11 @@
 namespace trestlepost::consensus::test {
 namespace {
 
-constexpr std::uint64_t seeds_for_broken_mechanisms = 150;
+constexpr std::uint64_t seeds_per_defect = 150;
 
 /// First seed whose simulation detects the injected defect, or 0.
-std::uint64_t first_caught(simulation_options options) {
-  for (std::uint64_t seed = 1; seed <= seeds_for_broken_mechanisms; ++seed) {
+std::uint64_t first_detecting_seed(simulation_options options) {
+  for (std::uint64_t seed = 1; seed <= seeds_per_defect; ++seed) {
     options.seed = seed;
     const simulation_outcome outcome = simulate(options);
     if (!outcome.violations.empty()) return seed;
@@ -21,7 +21,7 @@
   return 0;
 }
 
-RC_GTEST_PROP(simulation_test, nothing_acknowledged_is_lost_under_faults, ()) {
+RC_GTEST_PROP(simulation_test, acknowledged_entries_survive_faults, ()) {
   simulation_options options;
   options.seed = *rc::gen::arbitrary<std::uint64_t>();
   const simulation_outcome outcome = simulate(options);
@@ -32,7 +32,7 @@
   RC_CLASSIFY(outcome.disks_lost > 1, "two disks lost");
 }
 
-TEST(simulation_test, the_schedules_reach_the_faults) {
+TEST(simulation_test, schedules_cover_the_faults) {
   std::size_t acknowledged = 0;
   std::size_t leaders = 0;
   std::size_t disks_lost = 0;
@@ -49,29 +49,29 @@
   EXPECT_GT(disks_lost, 25U);
 }
 
-TEST(simulation_test, a_skipped_sync_is_caught) {
+TEST(simulation_test, a_skipped_sync_is_detected) {
   simulation_options options;
   options.skip_sync = true;
   options.lose_disks = false;
-  EXPECT_GT(first_caught(options), 0U);
+  EXPECT_GT(first_detecting_seed(options), 0U);
 }
 
-TEST(simulation_test, a_vote_without_the_log_check_is_caught) {
+TEST(simulation_test, a_vote_without_the_log_check_is_detected) {
   simulation_options options;
   options.replica.skip_log_check = true;
-  EXPECT_GT(first_caught(options), 0U);
+  EXPECT_GT(first_detecting_seed(options), 0U);
 }
 
-TEST(simulation_test, a_lost_disk_under_its_old_incarnation_is_caught) {
+TEST(simulation_test, a_lost_disk_with_its_old_incarnation_is_detected) {
   simulation_options options;
   options.reuse_incarnation = true;
-  EXPECT_GT(first_caught(options), 0U);
+  EXPECT_GT(first_detecting_seed(options), 0U);
 }
 
-TEST(simulation_test, a_learner_that_votes_is_caught) {
+TEST(simulation_test, a_learner_that_votes_is_detected) {
   simulation_options options;
   options.replica.learners_vote = true;
-  EXPECT_GT(first_caught(options), 0U);
+  EXPECT_GT(first_detecting_seed(options), 0U);
 }
 
 }  // namespace
--- a/consensus/test/simulation.cc
+++ b/consensus/test/simulation.cc
@@ -32,12 +32,12 @@
     std::vector<std::string> loaded;
     const result<json> parsed = parse_json(data.empty() ? "[]" : data);
     for (const json& it : *parsed) loaded.push_back(it.asString());
-    if (loaded.size() < commands_.size()) went_back = true;
+    if (loaded.size() < commands_.size()) regressed = true;
     commands_ = std::move(loaded);
   }
 
   const std::vector<std::string>& commands() const { return commands_; }
-  bool went_back = false;
+  bool regressed = false;
 
  private:
   std::vector<std::string> commands_;
@@ -76,7 +76,7 @@
  private:
   void start(node& it);
   void found();
-  void guarded(node& it, const std::function<void()>& action);
+  void run_until_crash(node& it, const std::function<void()>& action);
   void crash(node& it);
   void step(bool faults);
   void inject_fault();
@@ -86,19 +86,19 @@
   void tick_all();
   void check();
   void record_apply(const node& by, const entry& committed);
-  bool repaired() const;
+  bool is_repaired() const;
   node* leader();
-  bool agreed() const;
+  bool replicas_agree() const;
   void heal();
   bool reachable(const std::string& from, const std::string& to) const {
-    return !cuts_.contains({from, to});
+    return !cut_links_.contains({from, to});
   }
 
   simulation_options options_;
   seeded_random random_;
   std::vector<std::unique_ptr<node>> nodes_;
   std::vector<packet> packets_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::set<std::pair<std::string, std::string>> cut_links_;
   std::map<log_index, std::string> applied_;
   std::map<term_number, std::string> leaders_;
   std::map<std::string, std::size_t> times_applied_;
@@ -152,7 +152,8 @@
   nodes_[0]->host->found(nodes_[0]->local_now, "group", members);
 }
 
-void simulation::guarded(node& it, const std::function<void()>& action) {
+void simulation::run_until_crash(node& it,
+                                 const std::function<void()>& action) {
   try {
     action();
   } catch (const crash_signal&) {
@@ -189,7 +190,7 @@
   return nullptr;
 }
 
-bool simulation::repaired() const {
+bool simulation::is_repaired() const {
   const node* settled = nullptr;
   for (const std::unique_ptr<node>& it : nodes_) {
     if (!it->host) continue;
@@ -212,7 +213,7 @@
 }
 
 void simulation::lose_disk() {
-  if (!options_.lose_disks || !repaired()) return;
+  if (!options_.lose_disks || !is_repaired()) return;
   node& it = *nodes_[random_.below(voter_count)];
   it.host.reset();
   const std::uint64_t former = it.disk.incarnation;
@@ -240,15 +241,15 @@
       it.frozen_until = step_ + static_cast<int>(random_.below(200));
       break;
     case 4:
-      cuts_.emplace(it.name, other.name);
+      cut_links_.emplace(it.name, other.name);
       break;
     case 5:
-      cuts_.emplace(it.name, other.name);
-      cuts_.emplace(other.name, it.name);
+      cut_links_.emplace(it.name, other.name);
+      cut_links_.emplace(other.name, it.name);
       break;
     case 6:
     case 7:
-      cuts_.clear();
+      cut_links_.clear();
       break;
     default:
       lose_disk();
@@ -260,7 +261,7 @@
   for (const std::unique_ptr<node>& it : nodes_) {
     if (!it->host || step_ < it->frozen_until) continue;
     if (!it->host->core().is_leader()) continue;
-    guarded(*it, [this, &it] {
+    run_until_crash(*it, [this, &it] {
       it->host->propose(it->local_now,
                         "command " + std::to_string(next_command_++));
     });
@@ -281,7 +282,8 @@
         packets_.push_back({it.content, to->frozen_until});
         continue;
       }
-      guarded(*to, [&] { to->host->receive(to->local_now, it.content); });
+      run_until_crash(*to,
+                      [&] { to->host->receive(to->local_now, it.content); });
     }
   }
 }
@@ -291,23 +293,24 @@
     it->local_now += step_time * it->clock_percent / 100;
     if (!it->host && step_ >= it->down_until) start(*it);
     if (!it->host || step_ < it->frozen_until) continue;
-    guarded(*it, [&] { it->host->tick(it->local_now); });
+    run_until_crash(*it, [&] { it->host->tick(it->local_now); });
     if (!it->host || step_ % 10 != 0) continue;
     if (!it->host->needs_join(it->local_now)) continue;
     node* to = leader();
     if (to == nullptr || step_ < to->frozen_until) continue;
     if (!reachable(it->name, to->name)) continue;
-    guarded(*to, [&] { to->host->handle_join(to->local_now, it->id()); });
+    run_until_crash(*to,
+                    [&] { to->host->handle_join(to->local_now, it->id()); });
   }
 }
 
 void simulation::check() {
   int leases = 0;
   for (const std::unique_ptr<node>& it : nodes_) {
-    if (it->machine.went_back) {
+    if (it->machine.regressed) {
       outcome_.violations.push_back("node " + it->name +
                                     " lost applied commands");
-      it->machine.went_back = false;
+      it->machine.regressed = false;
     }
     if (!it->host || !it->host->core().is_leader()) continue;
     const term_number term = it->host->core().term();
@@ -331,7 +334,7 @@
 }
 
 void simulation::heal() {
-  cuts_.clear();
+  cut_links_.clear();
   for (const std::unique_ptr<node>& it : nodes_) {
     it->frozen_until = 0;
     it->down_until = 0;
@@ -340,7 +343,7 @@
   }
 }
 
-bool simulation::agreed() const {
+bool simulation::replicas_agree() const {
   for (const std::unique_ptr<node>& it : nodes_) {
     if (it->name == "d") continue;
     if (!it->host || it->host->applied() < applied_.rbegin()->first) {
@@ -358,7 +361,7 @@
   const std::size_t before = outcome_.acknowledged;
   for (int i = 0; i < 2000 && !outcome_.converged; ++i) {
     step(false);
-    outcome_.converged = outcome_.acknowledged > before && agreed();
+    outcome_.converged = outcome_.acknowledged > before && replicas_agree();
   }
   return outcome_;
 }
--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -51,8 +51,8 @@
   }
   if (voters.empty()) {
     consensus::open_membership open;
-    open.least_voters =
-        consensus::voters_to_bear(context_.options.tolerated_losses);
+    open.min_voters =
+        consensus::voters_to_tolerate(context_.options.tolerated_losses);
     host_->set_open_membership(open);
   } else {
     host_->set_desired_voters(std::move(voters));
@@ -104,9 +104,9 @@
   if (machine_.store().plan()) return true;
   // Before the first plan: grow first, so that what is acknowledged outlives
   // the losses that must be borne.
-  return growth_.has_grown(
+  return growth_.is_formed(
       *host_, context_.clock.now(),
-      consensus::voters_to_bear(context_.options.tolerated_losses));
+      consensus::voters_to_tolerate(context_.options.tolerated_losses));
 }
 
 result<void> control_service::confirm_read(std::function<void()> ready) {
@@ -142,8 +142,8 @@
       [this](const json& params, const transport::rpc_context&) {
         const result<consensus::message> in = consensus::message_from(params);
         if (!in) return;
-        growth_.heard(*host_, context_.clock.now(), in->from,
-                      text_of(params, "from_address"));
+        growth_.record_address(*host_, context_.clock.now(), in->from,
+                               text_of(params, "from_address"));
         host_->receive(context_.clock.now(), *in);
         orders_.finish_reads();
       });
@@ -468,7 +468,7 @@
 
 void control_service::found_ledgers() {
   const monotonic_time now = context_.clock.now();
-  growth_.observe(*host_, now, leads(), context_.self.peer_address);
+  growth_.update(*host_, now, leads(), context_.self.peer_address);
   if (!growth_.leading_since()) {
     proposed_ledgers_.clear();
     return;
--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -19,7 +19,7 @@
 #include "node_context.h"
 #include "ticket_table.h"
 #include "trestlepost/config/state_machine.h"
-#include "trestlepost/consensus/group_growth.h"
+#include "trestlepost/consensus/group_formation.h"
 
 namespace trestlepost::node {
 
@@ -131,7 +131,7 @@
   group_upkeep upkeep_;
   config::config_state_machine machine_;
   std::unique_ptr<consensus::group_host> host_;
-  consensus::group_growth growth_{context_.heard_from};
+  consensus::group_formation growth_{context_.heard_from};
   config_watchers watchers_{context_, machine_};
   crash_judge judge_{context_, machine_.store(), [this](config::change asked) {
                        propose(std::move(asked), [](const result<json>&) {});
