--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -117,7 +117,7 @@
   const monotonic_time now = context_.clock.now();
   // One that has just started hears few of the others yet, and what it sent
   // in its former life is not known.
-  if (context_.state.is_learning(now)) return false;
+  if (context_.state.is_catching_up(now)) return false;
   const std::uint64_t own = rendezvous_score(endpoint, context_.self.name);
   std::size_t better = 0;
   // Those that are not heard count too, or while many stand still more of the
--- a/gateway/src/route_forward_handler.cc
+++ b/gateway/src/route_forward_handler.cc
@@ -45,7 +45,7 @@
 
 result<routed_request> route_forward_handler::accept(route_message message,
                                                      std::string body) const {
-  if (!context_.state.may_cross(context_.clock.now())) {
+  if (!context_.state.may_cross_regions(context_.clock.now())) {
     return fail(error_kind::isolated, "this node takes no requests of others",
                 "use another node");
   }
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -34,7 +34,7 @@
 awaitable<bool> route_handler::wait_to_learn(monotonic_time arrived,
                                              http_exchange& exchange) {
   const monotonic_time now = context_.clock.now();
-  const bool waits = context_.state.is_learning(now) && taking_ &&
+  const bool waits = context_.state.is_catching_up(now) && taking_ &&
                      now < arrived + longest_wait_to_learn && !exchange.gone();
   if (!waits) co_return false;
   transport::timer timer(context_.io);
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -164,7 +164,7 @@
     home = weigh_own_region(context, own, request, wanted);
   }
   std::optional<valued_decision> away;
-  if (context.state.may_cross(now)) {
+  if (context.state.may_cross_regions(now)) {
     away =
         weigh_other_regions(context, own, remote, request, wanted, exhausted);
   }
--- a/membership/include/trestlepost/membership/digest_reader.h
+++ b/membership/include/trestlepost/membership/digest_reader.h
@@ -16,38 +16,38 @@
 
 /// Result of reading a digest.
 enum class digest_outcome {
-  taken,
-  old,     // a duplicate, or a newer one was read before
-  missing  // an earlier digest is missing; the next request covers it
+  applied,
+  stale,  // a duplicate, or a newer one was read before
+  gap     // an earlier digest is missing; the next request covers it
 };
 
 /// Tracks, for each relay, the version of its digests that this node has.
 class digest_reader {
  public:
   /// Applies a digest to `table`; `self` is the node that reads it.
-  digest_outcome take(const region_digest& in, const node_info& self,
-                      node_table& table, monotonic_time now);
+  digest_outcome apply(const region_digest& in, const node_info& self,
+                       node_table& table, monotonic_time now);
 
   /// The digest request to send to a relay.
-  digest_ask ask_for(const std::string& relay) const;
+  digest_request request_for(const std::string& relay) const;
 
   /// Of the sums received since `oldest`, those over the most nodes; or null.
   const endpoint_sums* best_sums(monotonic_time oldest) const;
 
  private:
   struct relay_view {
-    std::uint64_t life = 0;
-    std::uint64_t earlier_life = 0;
+    std::uint64_t incarnation = 0;
+    std::uint64_t previous_incarnation = 0;
     std::uint64_t sequence = 0;
     std::uint64_t version = 0;
     std::set<std::string> names;
     endpoint_sums sums;
-    monotonic_time summed_at;
+    monotonic_time sums_received_at;
   };
 
   /// Returns false if `in` is not newer than what `view` has. A restart of the
   /// relay resets the view.
-  static bool begin(relay_view& view, const region_digest& in);
+  static bool advance(relay_view& view, const region_digest& in);
 
   std::map<std::string, relay_view> relays_;
 };
--- a/membership/include/trestlepost/membership/digest_writer.h
+++ b/membership/include/trestlepost/membership/digest_writer.h
@@ -17,9 +17,9 @@
 /// the changes after the version that its receiver has.
 class digest_writer {
  public:
-  /// `life` identifies this process; it differs for each start.
-  digest_writer(const node_info& self, std::uint64_t life)
-      : relay_(self.name), region_(self.region), life_(life) {}
+  /// `incarnation` identifies this process; it differs for each start.
+  digest_writer(const node_info& self, std::uint64_t incarnation)
+      : relay_(self.name), region_(self.region), incarnation_(incarnation) {}
 
   /// Updates the rows from nodes with first-hand contact. What another relay of
   /// the region has reported is left out: two relays could otherwise keep a
@@ -27,13 +27,13 @@
   void update(const node_table& table, std::chrono::milliseconds late_after,
               monotonic_time now);
 
-  /// Builds the digest for a receiver with the state `ask`, for one region or
-  /// for all.
-  region_digest next(const digest_ask& ask,
-                     const std::optional<std::string>& region);
+  /// Builds the digest for a receiver with the state `request`, for one region
+  /// or for all.
+  region_digest make_digest(const digest_request& request,
+                            const std::optional<std::string>& region);
   /// The last version that changed a node of `region`.
   std::uint64_t version_of(const std::string& region) const;
-  std::uint64_t life() const { return life_; }
+  std::uint64_t incarnation() const { return incarnation_; }
 
  private:
   struct entry {
@@ -44,11 +44,11 @@
   };
 
   /// Assigns a new version to `it` if `record` differs from the row.
-  void update_one(entry& it, const node_record& record, bool gone);
+  void update_entry(entry& it, const node_record& record, bool dead);
 
   std::string relay_;
   std::string region_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   std::uint64_t sequence_ = 0;
   std::uint64_t version_ = 0;
   std::chrono::milliseconds late_after_{0};
--- a/membership/include/trestlepost/membership/directory.h
+++ b/membership/include/trestlepost/membership/directory.h
@@ -32,9 +32,9 @@
 /// The regions in which requests for one host may run.
 struct host_regions {
   std::vector<std::string> homes;  // to which some route is bound
-  bool every_route = false;        // every route is bound to them
+  bool all_routes_bound = false;   // every route is bound to them
   /// Evacuated regions; they serve no requests.
-  std::set<std::string> closed{};
+  std::set<std::string> evacuated{};
 
   /// Whether some request for the host can run in `region`.
   bool may_run_in(const std::string& region) const;
@@ -66,7 +66,7 @@
 /// bound, nor while the caller's region is only restarting. For a region
 /// without any known node the result is empty, because the region may be
 /// healthy.
-std::vector<entry_view> entries_near(const node_table& table,
+std::vector<entry_view> find_entries(const node_table& table,
                                      const entry_query& query,
                                      const host_regions& host,
                                      const directory_options& options,
--- a/membership/include/trestlepost/membership/endpoint_sums.h
+++ b/membership/include/trestlepost/membership/endpoint_sums.h
@@ -37,8 +37,8 @@
                      monotonic_time now);
 
 /// The sums without the values of `node`, to be sent to that node.
-endpoint_sums without(endpoint_sums sums, const node_table& table,
-                      const std::string& node, monotonic_time now);
+endpoint_sums excluding_node(endpoint_sums sums, const node_table& table,
+                             const std::string& node, monotonic_time now);
 
 /// Mean load of each service over the ready gateways of `region`. The wait is
 /// the shortest one, because a request is sent to the best gateway.
--- a/membership/include/trestlepost/membership/endpoint_tracker.h
+++ b/membership/include/trestlepost/membership/endpoint_tracker.h
@@ -32,7 +32,7 @@
   /// Time in which the limit of a returned endpoint grows to its full value.
   std::chrono::milliseconds ramp{8000};
   /// Percentage of a service's endpoints that may be ejected for failures.
-  unsigned most_ejected_percent = 50;
+  unsigned max_ejected_percent = 50;
   /// Time after which a load report is ignored.
   std::chrono::milliseconds report_lifetime{5000};
 };
@@ -42,7 +42,7 @@
   unsigned running = 0;
   unsigned waiting = 0;
   monotonic_time at;
-  unsigned own_in_flight_then = 0;
+  unsigned own_in_flight_at_report = 0;
 };
 
 /// State of one endpoint, as input to routing.
@@ -88,7 +88,7 @@
   /// that the list does not contain keep their state, because the list lags.
   void platform_listed(const std::string& address, bool leaving,
                        monotonic_time now);
-  void others_in_flight(std::map<std::string, std::uint32_t> by_endpoint);
+  void set_others_in_flight(std::map<std::string, std::uint32_t> by_endpoint);
   void tick(monotonic_time now);
 
   std::vector<endpoint_view> views(const std::string& service,
@@ -104,7 +104,7 @@
     unsigned in_flight = 0;
     unsigned failures = 0;
     unsigned ejections = 0;
-    monotonic_time warming_since;
+    monotonic_time ramp_started_at;
     monotonic_time ejected_until;
     load_report last_report;
     bool listed_leaving = false;
@@ -113,7 +113,7 @@
   void handle(record& it, const std::string& event, monotonic_time now);
   bool guard_holds(const record& it, const std::string& guard) const;
   bool ejection_allowed(const record& it) const;
-  double warmth(const record& it, monotonic_time now) const;
+  double ramp_share(const record& it, monotonic_time now) const;
   void adapt_limit(record& it);
   endpoint_view view_of(const record& it, monotonic_time now) const;
   record* find(const std::string& name);
@@ -121,8 +121,8 @@
   charts::chart chart_;
   endpoint_options options_;
   std::map<std::string, record> endpoints_;
-  std::map<std::string, std::uint32_t> others_;
-  bool any_seen_ = false;
+  std::map<std::string, std::uint32_t> others_in_flight_;
+  bool any_declared_ = false;
 };
 
 }  // namespace trestlepost::membership
--- a/membership/include/trestlepost/membership/node_state.h
+++ b/membership/include/trestlepost/membership/node_state.h
@@ -30,19 +30,19 @@
   std::chrono::milliseconds startup_wait{5000};
   /// Time after a start in which a node counts as learning. After kills of all
   /// nodes, gateways were confirmed by a leader 1.1 to 1.8 s after their start.
-  std::chrono::milliseconds learning_time{2000};
+  std::chrono::milliseconds catch_up_time{2000};
   /// Time after the first confirmation within which a node learns of other
   /// regions.
-  std::chrono::milliseconds settling_time{500};
+  std::chrono::milliseconds confirmation_settling_time{500};
   /// A gap of this length between two ticks counts as a suspension of the
   /// process. After shorter gaps endpoint data is no older than it can be
   /// between two updates anyway.
-  std::chrono::milliseconds standstill{1000};
+  std::chrono::milliseconds suspension_threshold{1000};
   /// Time after a suspension in which the node waits for a leader's
   /// confirmation before it continues without. A confirmation takes one round
   /// trip, at most 160 ms as measured. Pending requests have already waited a
   /// second in the node's sockets, and the shortest routes allow 1.2 s.
-  std::chrono::milliseconds standstill_wait{250};
+  std::chrono::milliseconds suspension_wait{250};
 };
 
 /// Runs the node chart on confirmations, ticks and stop orders.
@@ -71,10 +71,10 @@
   /// Whether this node is behind, or has started recently and has had no
   /// leader's confirmation yet or only just. Missing data may arrive at any
   /// moment.
-  bool is_learning(monotonic_time now) const;
+  bool is_catching_up(monotonic_time now) const;
   /// As `crosses_regions`, but also lets a stopping node finish its accepted
   /// requests.
-  bool may_cross(monotonic_time now) const {
+  bool may_cross_regions(monotonic_time now) const {
     return crosses_regions() ||
            (is(node_states::draining) && confirmed_at(now));
   }
--- a/membership/include/trestlepost/membership/node_table.h
+++ b/membership/include/trestlepost/membership/node_table.h
@@ -86,15 +86,15 @@
 /// Last known state of a node, and when it was received.
 struct node_record {
   heartbeat last;
-  monotonic_time heard_at;
+  monotonic_time last_contact_at;
   /// Last first-hand contact: a heartbeat of the node or, for a node of another
   /// region, a digest of that region's relay. Digests of other nodes of this
   /// region do not count.
-  std::optional<monotonic_time> told_at{};
+  std::optional<monotonic_time> first_hand_at{};
   /// Time of the last heartbeat of the node itself, which carries its loads.
-  std::optional<monotonic_time> load_at{};
-  std::uint32_t load = 0;  // requests in flight and queued
-  bool by_digest = false;  // the last update came from a digest
+  std::optional<monotonic_time> load_received_at{};
+  std::uint32_t load = 0;          // requests in flight and queued
+  bool updated_by_digest = false;  // the last update came from a digest
 };
 
 /// Times without contact after which a node's reachability changes.
@@ -102,7 +102,7 @@
   std::chrono::milliseconds suspect_after{1500};
   std::chrono::milliseconds dead_after{5000};
   /// Time without contact after which a dead node is removed.
-  std::chrono::milliseconds forget_after{600'000};
+  std::chrono::milliseconds remove_after{600'000};
 };
 
 struct digest_row;
@@ -121,18 +121,18 @@
                      std::uint64_t sequence, std::uint64_t revision,
                      monotonic_time now);
   /// Applies a digest row of a node; its relay had contact with the node at
-  /// `heard_at`.
-  void learn(const digest_row& in, monotonic_time heard_at);
-  /// Records that a relay had contact with the node at `heard_at`.
+  /// `contact_at`.
+  void apply(const digest_row& in, monotonic_time contact_at);
+  /// Records that a relay had contact with the node at `contact_at`.
   /// `first_hand`: the relay and the node are in the same region, and this node
   /// is in another one.
-  void refresh(const std::string& name, monotonic_time heard_at,
-               bool first_hand);
+  void record_contact(const std::string& name, monotonic_time contact_at,
+                      bool first_hand);
   /// Sets the service loads of another region at each of its ready gateways.
-  void learn_services(const std::string& region,
-                      const std::map<std::string, service_load>& loads,
-                      monotonic_time now);
-  void forget_old(monotonic_time now);
+  void set_region_services(const std::string& region,
+                           const std::map<std::string, service_load>& loads,
+                           monotonic_time now);
+  void remove_expired(monotonic_time now);
 
   const suspicion_options& options() const { return options_; }
   bool has_fresh_load(const node_record& record, monotonic_time now) const;
@@ -160,7 +160,7 @@
  private:
   suspicion_options options_;
   std::map<std::string, node_record> nodes_;
-  std::map<std::string, monotonic_time> services_learned_;
+  std::map<std::string, monotonic_time> services_set_at_;
 };
 
 /// Number of relays of a region.
--- a/membership/include/trestlepost/membership/region_digest.h
+++ b/membership/include/trestlepost/membership/region_digest.h
@@ -19,20 +19,20 @@
 
 /// In a region with more nodes than this, heartbeats are sent only to the
 /// relays. Below, a full mesh of heartbeats is as cheap and gives fresher data.
-inline constexpr std::size_t largest_mesh = 8;
+inline constexpr std::size_t max_mesh_nodes = 8;
 
 /// The version of a relay's digests that a node has; version 0 requests all
 /// rows.
-struct digest_ask {
-  std::uint64_t life = 0;
+struct digest_request {
+  std::uint64_t incarnation = 0;
   std::uint64_t version = 0;
 };
 
 /// State of one node.
 struct digest_row {
-  node_info node;  // only the name, unless `whole`
-  bool whole = false;
-  bool gone = false;  // without contact for so long that it counts as dead
+  node_info node;  // only the name, unless `has_info`
+  bool has_info = false;
+  bool dead = false;  // without contact for so long that it counts as dead
   std::string state;
   std::uint64_t sequence = 0;  // of the heartbeat with this state
   std::uint64_t revision = 0;
@@ -45,15 +45,15 @@
 /// A message of a relay to one receiver.
 struct region_digest {
   std::string relay;
-  std::string region;          // of the relay
-  std::uint64_t life = 0;      // of the relay's process
-  std::uint64_t sequence = 0;  // of this digest
-  std::uint64_t since = 0;     // contains all changes after this version
+  std::string region;              // of the relay
+  std::uint64_t incarnation = 0;   // of the relay's process
+  std::uint64_t sequence = 0;      // of this digest
+  std::uint64_t base_version = 0;  // contains all changes after this version
   std::uint64_t version = 0;
   std::vector<digest_row> rows;
   /// The relay had contact with each node within this time, except those in
   /// `late`.
-  std::chrono::milliseconds fresh{0};
+  std::chrono::milliseconds max_age{0};
   std::map<std::string, std::chrono::milliseconds> late;
   std::map<std::string, service_loads> services;  // by region
   endpoint_sums sums;  // without the receiver's own values
@@ -61,8 +61,8 @@
   std::map<std::string, reported_load> reports;
 };
 
-json to_json(const digest_ask& value);
-digest_ask digest_ask_from(const json& value);
+json to_json(const digest_request& value);
+digest_request digest_request_from(const json& value);
 json to_json(const region_digest& value);
 /// Decodes a digest; returns an error if it is invalid or inconsistent.
 result<region_digest> region_digest_from(const json& value);
--- a/membership/include/trestlepost/membership/relay_choice.h
+++ b/membership/include/trestlepost/membership/relay_selector.h
@@ -30,31 +30,32 @@
                                      std::vector<relay_candidate> candidates);
 
 /// Chooses the relays of this node and tracks which of them respond.
-class relay_choice {
+class relay_selector {
  public:
-  /// Candidates without a response for `mute_after` are ranked last.
+  /// Candidates without a response for `unresponsive_after` are ranked last.
   std::vector<std::string> choose(const std::string& region,
                                   std::vector<relay_candidate> candidates,
-                                  std::chrono::milliseconds mute_after,
+                                  std::chrono::milliseconds unresponsive_after,
                                   monotonic_time now) const;
   /// Records that a heartbeat was sent to `name`.
-  void asked(const std::string& name, monotonic_time now);
+  void heartbeat_sent(const std::string& name, monotonic_time now);
   /// Records that a digest of `name` was received.
-  void answered(const std::string& name);
+  void digest_received(const std::string& name);
 
  private:
-  bool is_mute(const std::string& name, std::chrono::milliseconds mute_after,
-               monotonic_time now) const;
+  bool is_unresponsive(const std::string& name,
+                       std::chrono::milliseconds unresponsive_after,
+                       monotonic_time now) const;
 
   /// Time of the first heartbeat without a response, by candidate.
-  std::map<std::string, monotonic_time> asked_since_;
+  std::map<std::string, monotonic_time> unanswered_since_;
 };
 
 /// Time between two heartbeats of a node, given the number of nodes in its
 /// region. It grows with the region to limit the load on relays, but five
 /// heartbeats always fit into the time after which a silent node is suspected.
-std::chrono::milliseconds beat_interval(std::chrono::milliseconds base,
-                                        std::size_t nodes,
-                                        const suspicion_options& suspicion);
+std::chrono::milliseconds scaled_heartbeat_interval(
+    std::chrono::milliseconds base, std::size_t nodes,
+    const suspicion_options& suspicion);
 
 }  // namespace trestlepost::membership
--- a/membership/src/digest_reader.cc
+++ b/membership/src/digest_reader.cc
@@ -4,71 +4,72 @@
 namespace {
 
 /// Time of the relay's last contact with node `name`.
-monotonic_time heard_at(const region_digest& in, const std::string& name,
-                        monotonic_time now) {
+monotonic_time contact_time(const region_digest& in, const std::string& name,
+                            monotonic_time now) {
   const auto late = in.late.find(name);
-  return now - (late == in.late.end() ? in.fresh : late->second);
+  return now - (late == in.late.end() ? in.max_age : late->second);
 }
 
 }  // namespace
 
-bool digest_reader::begin(relay_view& view, const region_digest& in) {
-  if (in.life == view.earlier_life) return false;
-  if (in.life != view.life) {
-    const std::uint64_t earlier = view.life;
+bool digest_reader::advance(relay_view& view, const region_digest& in) {
+  if (in.incarnation == view.previous_incarnation) return false;
+  if (in.incarnation != view.incarnation) {
+    const std::uint64_t earlier = view.incarnation;
     view = {};
-    view.life = in.life;
-    view.earlier_life = earlier;
+    view.incarnation = in.incarnation;
+    view.previous_incarnation = earlier;
   }
   if (in.sequence <= view.sequence) return false;
   view.sequence = in.sequence;
   return true;
 }
 
-digest_outcome digest_reader::take(const region_digest& in,
-                                   const node_info& self, node_table& table,
-                                   monotonic_time now) {
+digest_outcome digest_reader::apply(const region_digest& in,
+                                    const node_info& self, node_table& table,
+                                    monotonic_time now) {
   relay_view& view = relays_[in.relay];
-  if (!begin(view, in)) return digest_outcome::old;
+  if (!advance(view, in)) return digest_outcome::stale;
   if (in.sums.nodes > 0) {
     view.sums = in.sums;
-    view.summed_at = now;
+    view.sums_received_at = now;
   }
-  if (in.since > view.version) return digest_outcome::missing;
-  if (in.since == 0) view.names.clear();
+  if (in.base_version > view.version) return digest_outcome::gap;
+  if (in.base_version == 0) view.names.clear();
   for (const digest_row& it : in.rows) {
     const std::string& name = it.node.name;
     if (name == self.name) continue;
-    if (it.gone) {
+    if (it.dead) {
       view.names.erase(name);
       continue;
     }
     view.names.insert(name);
-    table.learn(it, heard_at(in, name, now));
+    table.apply(it, contact_time(in, name, now));
   }
   view.version = in.version;
   for (const std::string& name : view.names) {
-    table.refresh(name, heard_at(in, name, now), in.region != self.region);
+    table.record_contact(name, contact_time(in, name, now),
+                         in.region != self.region);
   }
   for (const auto& [region, loads] : in.services) {
-    table.learn_services(region, loads, now);
+    table.set_region_services(region, loads, now);
   }
-  return digest_outcome::taken;
+  return digest_outcome::applied;
 }
 
-digest_ask digest_reader::ask_for(const std::string& relay) const {
+digest_request digest_reader::request_for(const std::string& relay) const {
   const auto it = relays_.find(relay);
   if (it == relays_.end()) return {};
-  return {it->second.life, it->second.version};
+  return {it->second.incarnation, it->second.version};
 }
 
 const endpoint_sums* digest_reader::best_sums(monotonic_time oldest) const {
   const relay_view* best = nullptr;
   for (const auto& [name, it] : relays_) {
-    if (it.sums.nodes == 0 || it.summed_at < oldest) continue;
-    const bool better =
-        best == nullptr || it.sums.nodes > best->sums.nodes ||
-        (it.sums.nodes == best->sums.nodes && it.summed_at > best->summed_at);
+    if (it.sums.nodes == 0 || it.sums_received_at < oldest) continue;
+    const bool better = best == nullptr || it.sums.nodes > best->sums.nodes ||
+                        (it.sums.nodes == best->sums.nodes &&
+                         it.sums_received_at > best->sums_received_at);
     if (better) best = &it;
   }
   return best == nullptr ? nullptr : &best->sums;
--- a/membership/src/directory.cc
+++ b/membership/src/directory.cc
@@ -22,7 +22,7 @@
   return node.availability_zone == query.near_zone ? 0 : 1;
 }
 
-bool allowed(const node_info& node, const entry_query& query) {
+bool is_allowed(const node_info& node, const entry_query& query) {
   const std::vector<std::string>& all = query.allowed_regions;
   return all.empty() ||
          std::find(all.begin(), all.end(), node.region) != all.end();
@@ -40,7 +40,7 @@
     const bool isolated = last.state == node_states::isolated;
     if (!ready && !isolated) continue;
     if (table.state_of(*it, now) != peer_state::live) continue;
-    if (last.node.caller_address.empty() || !allowed(last.node, query)) {
+    if (last.node.caller_address.empty() || !is_allowed(last.node, query)) {
       continue;
     }
     ranked.push_back(
@@ -62,7 +62,7 @@
 
 namespace {
 
-bool takes_callers(const heartbeat& in) {
+bool accepts_callers(const heartbeat& in) {
   const bool serving =
       in.state == node_states::ready || in.state == node_states::isolated;
   return serving && !in.node.caller_address.empty();
@@ -76,16 +76,18 @@
 using entry_list = std::vector<entry_view>;
 
 /// The entries of the caller's region, by last contact.
-struct near_entries {
-  entry_list heard;   // accept callers; recent contact
+struct region_entries {
+  entry_list recent;  // accept callers; recent contact
   entry_list silent;  // accepted callers at the last contact; not dead
   bool known = false;
-  bool lost = false;  // one became silent without announcing a stop
+  bool any_lost = false;  // one became silent without announcing a stop
 };
 
-near_entries find_near(const node_table& table, const entry_query& query,
-                       const directory_options& options, monotonic_time now) {
-  near_entries out;
+region_entries collect_region_entries(const node_table& table,
+                                      const entry_query& query,
+                                      const directory_options& options,
+                                      monotonic_time now) {
+  region_entries out;
   const bool own = query.near_region == options.own_region;
   // Heartbeats of other regions come through relays and less often, so the
   // longer limit applies.
@@ -96,12 +98,12 @@
                       !it->last.node.caller_address.empty();
     if (!near) continue;
     out.known = true;
-    if (!takes_callers(it->last)) continue;
-    if (now < it->heard_at + silent_after) {
-      out.heard.push_back(view_of(it->last));
+    if (!accepts_callers(it->last)) continue;
+    if (now < it->last_contact_at + silent_after) {
+      out.recent.push_back(view_of(it->last));
       continue;
     }
-    out.lost = true;
+    out.any_lost = true;
     if (table.state_of(*it, now) != peer_state::dead) {
       out.silent.push_back(view_of(it->last));
     }
@@ -115,34 +117,34 @@
 
 /// Removes entries of the caller's region and of regions that can't run the
 /// host's requests.
-void keep_useful(entry_list& entries, const host_regions& host,
-                 const std::string& near_region) {
+void remove_unusable(entry_list& entries, const host_regions& host,
+                     const std::string& near_region) {
   std::erase_if(entries, [&](const entry_view& it) {
     return it.region == near_region || !host.may_run_in(it.region);
   });
 }
 
 /// Live entries of other regions: those of home regions or, if there are none
-/// and `beyond` is set, those of any region.
-entry_list stand_ins(const node_table& table, const entry_query& query,
-                     const host_regions& host, bool beyond,
-                     monotonic_time now) {
+/// and `any_region` is set, those of any region.
+entry_list replacement_entries(const node_table& table,
+                               const entry_query& query,
+                               const host_regions& host, bool any_region,
+                               monotonic_time now) {
   entry_query elsewhere = query;
   elsewhere.allowed_regions = host.homes;
   entry_list out = rank_entries(table, elsewhere, now);
-  keep_useful(out, host, query.near_region);
-  if (!out.empty() || !beyond) return out;
+  remove_unusable(out, host, query.near_region);
+  if (!out.empty() || !any_region) return out;
   elsewhere.allowed_regions.clear();
   out = rank_entries(table, elsewhere, now);
-  keep_useful(out, host, query.near_region);
+  remove_unusable(out, host, query.near_region);
   return out;
 }
 
 /// Whether no node of another region is live: this node's region is then
 /// partitioned from all others.
-bool hears_no_other_region(const node_table& table,
-                           const directory_options& options,
-                           monotonic_time now) {
+bool is_partitioned(const node_table& table, const directory_options& options,
+                    monotonic_time now) {
   const std::vector<const node_record*> all = table.all();
   return std::none_of(all.begin(), all.end(), [&](const node_record* it) {
     return it->last.node.region != options.own_region &&
@@ -151,53 +153,55 @@
 }
 
 /// Entries of other regions in their last known state.
-entry_list last_heard_elsewhere(const node_table& table,
+entry_list last_known_elsewhere(const node_table& table,
                                 const entry_query& query,
                                 const host_regions& host) {
   entry_list out;
   for (const node_record* it : table.all()) {
-    if (takes_callers(it->last)) out.push_back(view_of(it->last));
+    if (accepts_callers(it->last)) out.push_back(view_of(it->last));
   }
-  keep_useful(out, host, query.near_region);
+  remove_unusable(out, host, query.near_region);
   return out;
 }
 
 /// Entries for a caller whose own region can't run the host's requests.
-entry_list useful_elsewhere(const node_table& table, const entry_query& query,
+entry_list usable_elsewhere(const node_table& table, const entry_query& query,
                             const host_regions& host,
                             const directory_options& options,
                             monotonic_time now) {
-  entry_list out = stand_ins(table, query, host, host.homes.empty(), now);
-  const bool cut_off =
-      out.empty() && hears_no_other_region(table, options, now);
+  entry_list out =
+      replacement_entries(table, query, host, host.homes.empty(), now);
+  const bool partitioned = out.empty() && is_partitioned(table, options, now);
   // Callers may reach regions that this node can't reach.
-  return cut_off ? last_heard_elsewhere(table, query, host) : out;
+  return partitioned ? last_known_elsewhere(table, query, host) : out;
 }
 
 }  // namespace
 
 bool host_regions::may_run_in(const std::string& region) const {
-  return !closed.contains(region) && (!every_route || contains(homes, region));
+  return !evacuated.contains(region) &&
+         (!all_routes_bound || contains(homes, region));
 }
 
-std::vector<entry_view> entries_near(const node_table& table,
+std::vector<entry_view> find_entries(const node_table& table,
                                      const entry_query& query,
                                      const host_regions& host,
                                      const directory_options& options,
                                      monotonic_time now) {
   if (!host.may_run_in(query.near_region)) {
-    entry_list out = useful_elsewhere(table, query, host, options, now);
+    entry_list out = usable_elsewhere(table, query, host, options, now);
     if (!out.empty()) return out;
   }
-  near_entries near = find_near(table, query, options, now);
-  if (!near.heard.empty() || !near.known) return std::move(near.heard);
-  const bool beyond = !host.every_route && (near.lost || host.homes.empty());
-  entry_list out = stand_ins(table, query, host, beyond, now);
+  region_entries near = collect_region_entries(table, query, options, now);
+  if (!near.recent.empty() || !near.known) return std::move(near.recent);
+  const bool any_region =
+      !host.all_routes_bound && (near.any_lost || host.homes.empty());
+  entry_list out = replacement_entries(table, query, host, any_region, now);
   // If the entries of its own region were alive, this node would have contact
   // with them. Entries of another region may only be partitioned from it.
-  const bool surely_gone =
+  const bool is_certainly_lost =
       query.near_region == options.own_region && !out.empty();
-  if (surely_gone) return out;
+  if (is_certainly_lost) return out;
   out.insert(out.begin(), near.silent.begin(), near.silent.end());
   return out;
 }
--- a/membership/src/endpoint_sums.cc
+++ b/membership/src/endpoint_sums.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// `from - n`, or 0 if that is negative.
-std::uint32_t less(std::uint32_t from, std::uint32_t n) {
+std::uint32_t saturating_subtract(std::uint32_t from, std::uint32_t n) {
   return from > n ? from - n : 0;
 }
 
@@ -55,11 +55,11 @@
 }
 
 void subtract(endpoint_sums& sums, const heartbeat& in) {
-  sums.nodes = less(sums.nodes, 1);
+  sums.nodes = saturating_subtract(sums.nodes, 1);
   for (const auto& [endpoint, n] : in.endpoint_in_flight) {
     const auto it = sums.in_flight.find(endpoint);
     if (it == sums.in_flight.end()) continue;
-    it->second = less(it->second, n);
+    it->second = saturating_subtract(it->second, n);
     if (it->second == 0) sums.in_flight.erase(it);
   }
   for (const auto& [endpoint, tokens] : in.pending_tokens) {
@@ -67,7 +67,7 @@
     if (it == sums.pending.end()) continue;
     std::vector<std::uint32_t>& sum = it->second;
     for (std::size_t i = 0; i < std::min(sum.size(), tokens.size()); ++i) {
-      sum[i] = less(sum[i], tokens[i]);
+      sum[i] = saturating_subtract(sum[i], tokens[i]);
     }
     while (!sum.empty() && sum.back() == 0) sum.pop_back();
     if (sum.empty()) sums.pending.erase(it);
@@ -89,8 +89,8 @@
   return out;
 }
 
-endpoint_sums without(endpoint_sums sums, const node_table& table,
-                      const std::string& node, monotonic_time now) {
+endpoint_sums excluding_node(endpoint_sums sums, const node_table& table,
+                             const std::string& node, monotonic_time now) {
   const node_record* it = table.find(node);
   if (it != nullptr && table.has_fresh_load(*it, now)) {
     subtract(sums, it->last);
@@ -104,9 +104,9 @@
   std::map<std::string, service_load> out;
   std::uint32_t nodes = 0;
   for (const node_record* it : table.live_in(region, now)) {
-    const bool counts = it->last.state == node_states::ready &&
-                        !it->last.node.forward_address.empty();
-    if (!counts) continue;
+    const bool is_ready_gateway = it->last.state == node_states::ready &&
+                                  !it->last.node.forward_address.empty();
+    if (!is_ready_gateway) continue;
     ++nodes;
     for (const auto& [name, load] : it->last.services) {
       const auto known = out.find(name);
--- a/membership/src/endpoint_tracker.cc
+++ b/membership/src/endpoint_tracker.cc
@@ -10,11 +10,11 @@
 
 // The limit of an endpoint varies between one request and this multiple of its
 // slots.
-constexpr double most_over_slots = 1.25;
-constexpr double limit_decrease = 0.9;
-constexpr double limit_increase = 0.5;
-constexpr double least_warmth = 0.25;
-constexpr double near_limit = 0.9;
+constexpr double max_limit_per_slot = 1.25;
+constexpr double limit_decrease_factor = 0.9;
+constexpr double limit_increase_step = 0.5;
+constexpr double initial_ramp_share = 0.25;
+constexpr double limit_increase_load = 0.9;
 
 }  // namespace
 
@@ -28,9 +28,9 @@
 
 void endpoint_tracker::declare(const std::vector<declared_endpoint>& endpoints,
                                monotonic_time now) {
-  std::set<std::string> kept;
+  std::set<std::string> declared_names;
   for (const declared_endpoint& it : endpoints) {
-    kept.insert(it.name);
+    declared_names.insert(it.name);
     const auto found = endpoints_.find(it.name);
     const bool same = found != endpoints_.end() &&
                       found->second.declared.address == it.address;
@@ -41,7 +41,7 @@
       fresh.limit = it.slots;
       // After the start of this node no endpoint is known to have just
       // returned, so they start at their full limit.
-      fresh.warming_since = any_seen_ ? now : now - options_.ramp;
+      fresh.ramp_started_at = any_declared_ ? now : now - options_.ramp;
       fresh.in_flight = same ? found->second.in_flight : 0;
       endpoints_[it.name] = std::move(fresh);
     }
@@ -52,9 +52,10 @@
       handle(one, it.drained ? "drain_ordered" : "drain_lifted", now);
     }
   }
-  std::erase_if(endpoints_,
-                [&kept](const auto& it) { return !kept.contains(it.first); });
-  any_seen_ = any_seen_ || !endpoints_.empty();
+  std::erase_if(endpoints_, [&declared_names](const auto& it) {
+    return !declared_names.contains(it.first);
+  });
+  any_declared_ = any_declared_ || !endpoints_.empty();
 }
 
 endpoint_tracker::record* endpoint_tracker::find(const std::string& name) {
@@ -78,7 +79,7 @@
     ++total;
     if (other.state == endpoint_states::ejected) ++ejected;
   }
-  return (ejected + 1) * 100 <= total * options_.most_ejected_percent;
+  return (ejected + 1) * 100 <= total * options_.max_ejected_percent;
 }
 
 void endpoint_tracker::handle(record& it, const std::string& event,
@@ -92,15 +93,15 @@
              {"from", it.state},
              {"to", next},
              {"cause", event}});
-  const bool returns =
+  const bool returned =
       it.state != endpoint_states::serving && next == endpoint_states::joining;
   it.state = next;
-  if (returns) it.warming_since = now;
+  if (returned) it.ramp_started_at = now;
   if (next != endpoint_states::ejected) return;
-  constexpr unsigned most_doublings = 10;
+  constexpr unsigned max_doublings = 10;
   const std::chrono::milliseconds length = std::min(
       options_.longest_ejection,
-      options_.first_ejection * (1U << std::min(it.ejections, most_doublings)));
+      options_.first_ejection * (1U << std::min(it.ejections, max_doublings)));
   ++it.ejections;
   it.failures = 0;
   it.ejected_until = now + length;
@@ -140,19 +141,19 @@
 void endpoint_tracker::report(const std::string& name, load_report in) {
   record* it = find(name);
   if (it == nullptr) return;
-  in.own_in_flight_then = it->in_flight;
+  in.own_in_flight_at_report = it->in_flight;
   it->last_report = in;
   adapt_limit(*it);
 }
 
 void endpoint_tracker::adapt_limit(record& it) {
-  const double most = most_over_slots * it.declared.slots;
+  const double max_limit = max_limit_per_slot * it.declared.slots;
   const bool congested = it.last_report.waiting > it.declared.slots / 4;
-  const bool pressed = it.in_flight >= near_limit * it.limit;
+  const bool near_limit = it.in_flight >= limit_increase_load * it.limit;
   if (congested) {
-    it.limit = std::max(1.0, it.limit * limit_decrease);
-  } else if (pressed || it.limit < it.declared.slots) {
-    it.limit = std::min(most, it.limit + limit_increase);
+    it.limit = std::max(1.0, it.limit * limit_decrease_factor);
+  } else if (near_limit || it.limit < it.declared.slots) {
+    it.limit = std::min(max_limit, it.limit + limit_increase_step);
   }
 }
 
@@ -170,9 +171,9 @@
   }
 }
 
-void endpoint_tracker::others_in_flight(
+void endpoint_tracker::set_others_in_flight(
     std::map<std::string, std::uint32_t> by_endpoint) {
-  others_ = std::move(by_endpoint);
+  others_in_flight_ = std::move(by_endpoint);
 }
 
 void endpoint_tracker::tick(monotonic_time now) {
@@ -180,18 +181,20 @@
     if (it.state == endpoint_states::ejected && now >= it.ejected_until) {
       handle(it, "ejection_over", now);
     }
-    if (it.state == endpoint_states::joining && warmth(it, now) >= 1) {
+    if (it.state == endpoint_states::joining && ramp_share(it, now) >= 1) {
       handle(it, "ramp_done", now);
     }
   }
 }
 
-double endpoint_tracker::warmth(const record& it, monotonic_time now) const {
+double endpoint_tracker::ramp_share(const record& it,
+                                    monotonic_time now) const {
   if (it.state != endpoint_states::joining) return 1;
-  const double passed = std::chrono::duration<double>(now - it.warming_since) /
-                        std::chrono::duration<double>(options_.ramp);
-  return std::clamp(least_warmth + (1 - least_warmth) * passed, least_warmth,
-                    1.0);
+  const double passed =
+      std::chrono::duration<double>(now - it.ramp_started_at) /
+      std::chrono::duration<double>(options_.ramp);
+  return std::clamp(initial_ramp_share + (1 - initial_ramp_share) * passed,
+                    initial_ramp_share, 1.0);
 }
 
 endpoint_view endpoint_tracker::view_of(const record& it,
@@ -203,10 +206,10 @@
   out.state = it.state;
   out.usable = it.state == endpoint_states::joining ||
                it.state == endpoint_states::serving;
-  out.limit = std::max(1.0, it.limit * warmth(it, now));
+  out.limit = std::max(1.0, it.limit * ramp_share(it, now));
   out.own_in_flight = it.in_flight;
-  const auto others = others_.find(it.declared.name);
-  out.others_in_flight = others == others_.end() ? 0 : others->second;
+  const auto others = others_in_flight_.find(it.declared.name);
+  out.others_in_flight = others == others_in_flight_.end() ? 0 : others->second;
   // Reported load loses weight with age. The requests in flight from gateways
   // are exact.
   double reported = 0;
@@ -215,8 +218,9 @@
   const std::chrono::duration<double> lifetime = options_.report_lifetime;
   if (last.at != monotonic_time() && age < lifetime) {
     const double total = last.running + last.waiting;
-    const double foreign = std::max(0.0, total - last.own_in_flight_then);
-    reported = foreign * (1 - age / lifetime);
+    const double reported_others =
+        std::max(0.0, total - last.own_in_flight_at_report);
+    reported = reported_others * (1 - age / lifetime);
   }
   out.load =
       out.own_in_flight + std::max<double>(out.others_in_flight, reported);
--- a/membership/src/node_state.cc
+++ b/membership/src/node_state.cc
@@ -46,17 +46,17 @@
 bool node_state::is_behind(monotonic_time now) const {
   // After a suspension, pending requests may be read from the sockets before
   // the next tick.
-  const bool ticks_late =
-      last_tick_ && now >= *last_tick_ + options_.standstill;
-  return ticks_late ||
-         (resumed_at_ && now < *resumed_at_ + options_.standstill_wait);
+  const bool tick_overdue =
+      last_tick_ && now >= *last_tick_ + options_.suspension_threshold;
+  return tick_overdue ||
+         (resumed_at_ && now < *resumed_at_ + options_.suspension_wait);
 }
 
-bool node_state::is_learning(monotonic_time now) const {
+bool node_state::is_catching_up(monotonic_time now) const {
   if (is_behind(now)) return true;
-  if (now >= started_at_ + options_.learning_time) return false;
+  if (now >= started_at_ + options_.catch_up_time) return false;
   return !first_confirmed_at_ ||
-         now < *first_confirmed_at_ + options_.settling_time;
+         now < *first_confirmed_at_ + options_.confirmation_settling_time;
 }
 
 void node_state::order_stop() {
@@ -64,7 +64,8 @@
 }
 
 void node_state::tick(monotonic_time now, bool has_configuration) {
-  if (last_tick_ && now >= *last_tick_ + options_.standstill) resumed_at_ = now;
+  if (last_tick_ && now >= *last_tick_ + options_.suspension_threshold)
+    resumed_at_ = now;
   last_tick_ = now;
   if (!confirmed_at(now)) handle("lease_expired", has_configuration);
   if (now >= started_at_ + options_.startup_wait) {
--- a/membership/src/node_table.cc
+++ b/membership/src/node_table.cc
@@ -5,12 +5,12 @@
 
 #include "trestlepost/membership/node_state.h"
 #include "trestlepost/membership/region_digest.h"
-#include "trestlepost/membership/relay_choice.h"
+#include "trestlepost/membership/relay_selector.h"
 
 namespace trestlepost::membership {
 namespace {
 
-std::uint32_t small_number_of(const json& value, const char* key) {
+std::uint32_t uint32_of(const json& value, const char* key) {
   return static_cast<std::uint32_t>(number_of(value, key));
 }
 
@@ -22,7 +22,7 @@
 
 // The two relays of a region report the loads of another region in turn. The
 // loads are copied to the nodes of that region at most this often.
-constexpr std::chrono::milliseconds services_interval{250};
+constexpr std::chrono::milliseconds min_services_interval{250};
 
 }  // namespace
 
@@ -77,10 +77,10 @@
   if (!value.isObject()) return out;
   for (const std::string& it : value.getMemberNames()) {
     const json& one = value[it];
-    out[it] = {small_number_of(one, "in_flight"),
-               small_number_of(one, "queued"),
-               small_number_of(one, "free_slots"),
-               small_number_of(one, "endpoints"),
+    out[it] = {uint32_of(one, "in_flight"),
+               uint32_of(one, "queued"),
+               uint32_of(one, "free_slots"),
+               uint32_of(one, "endpoints"),
                std::chrono::milliseconds(number_of(one, "wait_ms")),
                std::chrono::milliseconds(number_of(one, "event_ms"))};
   }
@@ -121,15 +121,15 @@
   const json& endpoints = member_of(value, "endpoints");
   if (endpoints.isObject()) {
     for (const std::string& it : endpoints.getMemberNames()) {
-      out.endpoint_in_flight[it] = small_number_of(endpoints, it.c_str());
+      out.endpoint_in_flight[it] = uint32_of(endpoints, it.c_str());
     }
   }
   out.services = service_loads_from(member_of(value, "services"));
   const json& reports = member_of(value, "reports");
   if (reports.isObject()) {
     for (const std::string& it : reports.getMemberNames()) {
-      out.reports[it] = {small_number_of(reports[it], "running"),
-                         small_number_of(reports[it], "waiting")};
+      out.reports[it] = {uint32_of(reports[it], "running"),
+                         uint32_of(reports[it], "waiting")};
     }
   }
   const json& pending = member_of(value, "pending_tokens");
@@ -171,13 +171,14 @@
   const auto known = nodes_.find(in.node.name);
   if (known != nodes_.end()) {
     const node_record& record = known->second;
-    const bool same_life = record.last.node.incarnation == in.node.incarnation;
+    const bool same_incarnation =
+        record.last.node.incarnation == in.node.incarnation;
     // A digest may deliver the state of a heartbeat before the heartbeat
     // itself.
-    const bool overtaken =
-        record.by_digest && in.sequence == record.last.sequence;
-    const bool newer = in.sequence > record.last.sequence || overtaken;
-    if (same_life && !newer) return;
+    const bool known_by_digest =
+        record.updated_by_digest && in.sequence == record.last.sequence;
+    const bool newer = in.sequence > record.last.sequence || known_by_digest;
+    if (same_incarnation && !newer) return;
   }
   nodes_[in.node.name] = {in, now, now, now, load_of(in), false};
 }
@@ -193,63 +194,65 @@
   if (sequence <= last.sequence) return true;
   last.sequence = sequence;
   last.revision = revision;
-  it->second.heard_at = now;
-  it->second.told_at = now;
+  it->second.last_contact_at = now;
+  it->second.first_hand_at = now;
   return true;
 }
 
-void node_table::learn(const digest_row& in, monotonic_time heard_at) {
+void node_table::apply(const digest_row& in, monotonic_time contact_at) {
   const auto known = nodes_.find(in.node.name);
   const bool unknown = known == nodes_.end();
-  if (unknown && !in.whole) return;
+  if (unknown && !in.has_info) return;
   if (!unknown) {
     const node_record& record = known->second;
     // After a restart with a clock that was set back, a node's sequence numbers
     // start lower.
-    const bool other_life =
-        in.whole && in.node.incarnation != record.last.node.incarnation &&
-        heard_at >= record.heard_at + options_.suspect_after;
-    if (in.sequence <= record.last.sequence && !other_life) return;
+    const bool other_incarnation =
+        in.has_info && in.node.incarnation != record.last.node.incarnation &&
+        contact_at >= record.last_contact_at + options_.suspect_after;
+    if (in.sequence <= record.last.sequence && !other_incarnation) return;
   }
   node_record& record = nodes_[in.node.name];
-  if (in.whole) record.last.node = in.node;
+  if (in.has_info) record.last.node = in.node;
   record.last.state = in.state;
   record.last.sequence = in.sequence;
   record.last.revision = in.revision;
   record.load = in.load;
-  record.by_digest = true;
-  record.heard_at = std::max(record.heard_at, heard_at);
+  record.updated_by_digest = true;
+  record.last_contact_at = std::max(record.last_contact_at, contact_at);
 }
 
-void node_table::refresh(const std::string& name, monotonic_time heard_at,
-                         bool first_hand) {
+void node_table::record_contact(const std::string& name,
+                                monotonic_time contact_at, bool first_hand) {
   const auto it = nodes_.find(name);
   if (it == nodes_.end()) return;
   node_record& record = it->second;
-  record.heard_at = std::max(record.heard_at, heard_at);
+  record.last_contact_at = std::max(record.last_contact_at, contact_at);
   if (!first_hand) return;
-  record.told_at = std::max(record.told_at.value_or(heard_at), heard_at);
+  record.first_hand_at =
+      std::max(record.first_hand_at.value_or(contact_at), contact_at);
 }
 
-void node_table::learn_services(
+void node_table::set_region_services(
     const std::string& region, const std::map<std::string, service_load>& loads,
     monotonic_time now) {
-  const auto last = services_learned_.find(region);
-  const bool recent =
-      last != services_learned_.end() && now < last->second + services_interval;
+  const auto last = services_set_at_.find(region);
+  const bool recent = last != services_set_at_.end() &&
+                      now < last->second + min_services_interval;
   if (recent) return;
-  services_learned_[region] = now;
+  services_set_at_[region] = now;
   for (auto& [name, it] : nodes_) {
-    const bool concerned = it.last.node.region == region &&
-                           it.last.state == node_states::ready &&
-                           !it.last.node.forward_address.empty();
-    if (concerned) it.last.services = loads;
+    const bool is_ready_gateway = it.last.node.region == region &&
+                                  it.last.state == node_states::ready &&
+                                  !it.last.node.forward_address.empty();
+    if (is_ready_gateway) it.last.services = loads;
   }
 }
 
 bool node_table::has_fresh_load(const node_record& record,
                                 monotonic_time now) const {
-  return record.load_at && now < *record.load_at + options_.suspect_after;
+  return record.load_received_at &&
+         now < *record.load_received_at + options_.suspect_after;
 }
 
 void node_table::observe(const region_summary& in, monotonic_time now) {
@@ -258,9 +261,9 @@
   }
 }
 
-void node_table::forget_old(monotonic_time now) {
+void node_table::remove_expired(monotonic_time now) {
   std::erase_if(nodes_, [this, now](const auto& it) {
-    return it.second.heard_at + options_.forget_after < now;
+    return it.second.last_contact_at + options_.remove_after < now;
   });
 }
 
@@ -271,8 +274,9 @@
 
 peer_state node_table::state_of(const node_record& record,
                                 monotonic_time now) const {
-  if (now >= record.heard_at + options_.dead_after) return peer_state::dead;
-  if (now >= record.heard_at + options_.suspect_after) {
+  if (now >= record.last_contact_at + options_.dead_after)
+    return peer_state::dead;
+  if (now >= record.last_contact_at + options_.suspect_after) {
     return peer_state::suspect;
   }
   return peer_state::live;
--- a/membership/src/region_digest.cc
+++ b/membership/src/region_digest.cc
@@ -8,16 +8,16 @@
 using std::chrono::milliseconds;
 
 // Larger ages are invalid: such a node has been removed long before.
-constexpr milliseconds oldest_news{3'600'000};
+constexpr milliseconds max_contact_age{3'600'000};
 
 json to_json(const digest_row& value) {
   json out;
-  if (value.whole) {
+  if (value.has_info) {
     out["i"] = membership::to_json(value.node);
   } else {
     out["n"] = value.node.name;
   }
-  if (value.gone) out["g"] = true;
+  if (value.dead) out["g"] = true;
   out["s"] = value.state;
   out["q"] = as_number(value.sequence);
   out["c"] = as_number(value.revision);
@@ -27,13 +27,13 @@
 
 digest_row digest_row_from(const json& value) {
   digest_row out;
-  out.whole = member_of(value, "i").isObject();
-  if (out.whole) {
+  out.has_info = member_of(value, "i").isObject();
+  if (out.has_info) {
     out.node = node_info_from(member_of(value, "i"));
   } else {
     out.node.name = text_of(value, "n");
   }
-  out.gone = flag_of(value, "g");
+  out.dead = flag_of(value, "g");
   out.state = text_of(value, "s");
   out.sequence = number_of(value, "q");
   out.revision = number_of(value, "c");
@@ -41,17 +41,17 @@
   return out;
 }
 
-result<region_digest> refused(const std::string& why) {
+result<region_digest> invalid_digest(const std::string& why) {
   return fail(error_kind::bad_input, "a digest of a relay " + why,
               "run compatible versions of trestlepostd on all nodes");
 }
 
-bool is_span(const json& value) {
-  return value.isUInt64() &&
-         value.asUInt64() <= static_cast<std::uint64_t>(oldest_news.count());
+bool is_valid_age(const json& value) {
+  return value.isUInt64() && value.asUInt64() <= static_cast<std::uint64_t>(
+                                                     max_contact_age.count());
 }
 
-json names_to_json(const std::map<std::string, milliseconds>& late) {
+json ages_to_json(const std::map<std::string, milliseconds>& late) {
   json out(Json::objectValue);
   for (const auto& [name, age] : late) out[name] = as_number(age);
   return out;
@@ -71,12 +71,12 @@
 /// Decodes the times since the relay's last contact with nodes. Returns an
 /// error as `read_rows` does.
 std::string read_ages(const json& value, region_digest& out) {
-  if (!is_span(member_of(value, "f"))) return "has no valid age";
-  out.fresh = milliseconds(number_of(value, "f"));
+  if (!is_valid_age(member_of(value, "f"))) return "has no valid age";
+  out.max_age = milliseconds(number_of(value, "f"));
   const json& late = member_of(value, "late");
   if (!late.isObject()) return "";
   for (const std::string& it : late.getMemberNames()) {
-    if (!is_span(late[it])) return "has an invalid age of " + it;
+    if (!is_valid_age(late[it])) return "has an invalid age of " + it;
     out.late[it] = milliseconds(number_of(late, it.c_str()));
   }
   return "";
@@ -108,14 +108,14 @@
 
 }  // namespace
 
-json to_json(const digest_ask& value) {
+json to_json(const digest_request& value) {
   json out;
-  out["i"] = as_number(value.life);
+  out["i"] = as_number(value.incarnation);
   out["v"] = as_number(value.version);
   return out;
 }
 
-digest_ask digest_ask_from(const json& value) {
+digest_request digest_request_from(const json& value) {
   return {number_of(value, "i"), number_of(value, "v")};
 }
 
@@ -123,14 +123,14 @@
   json out;
   out["r"] = value.relay;
   out["z"] = value.region;
-  out["i"] = as_number(value.life);
+  out["i"] = as_number(value.incarnation);
   out["n"] = as_number(value.sequence);
-  out["b"] = as_number(value.since);
+  out["b"] = as_number(value.base_version);
   out["v"] = as_number(value.version);
   json& rows = out["rows"] = json(Json::arrayValue);
   for (const digest_row& it : value.rows) rows.append(to_json(it));
-  out["f"] = as_number(value.fresh);
-  out["late"] = names_to_json(value.late);
+  out["f"] = as_number(value.max_age);
+  out["late"] = ages_to_json(value.late);
   for (const auto& [region, loads] : value.services) {
     out["sv"][region] = membership::to_json(loads);
   }
@@ -146,23 +146,23 @@
   region_digest out;
   out.relay = text_of(value, "r");
   out.region = text_of(value, "z");
-  out.life = number_of(value, "i");
+  out.incarnation = number_of(value, "i");
   out.sequence = number_of(value, "n");
-  out.since = number_of(value, "b");
+  out.base_version = number_of(value, "b");
   out.version = number_of(value, "v");
   const bool named = !out.relay.empty() && !out.region.empty();
-  if (!named || out.life == 0)
-    return refused("has no relay, region or incarnation");
-  if (out.since > out.version)
-    return refused("has a version below its first version");
-  std::string fault = read_rows(member_of(value, "rows"), out.rows);
-  if (!fault.empty()) return refused(fault);
-  fault = read_ages(value, out);
-  if (!fault.empty()) return refused(fault);
+  if (!named || out.incarnation == 0)
+    return invalid_digest("has no relay, region or incarnation");
+  if (out.base_version > out.version)
+    return invalid_digest("has a version below its base version");
+  std::string failure = read_rows(member_of(value, "rows"), out.rows);
+  if (!failure.empty()) return invalid_digest(failure);
+  failure = read_ages(value, out);
+  if (!failure.empty()) return invalid_digest(failure);
   out.services = services_from(member_of(value, "sv"));
   out.sums = endpoint_sums_from(member_of(value, "ep"));
-  fault = read_reports(member_of(value, "rp"), out.reports);
-  if (!fault.empty()) return refused(fault);
+  failure = read_reports(member_of(value, "rp"), out.reports);
+  if (!failure.empty()) return invalid_digest(failure);
   return out;
 }
 
--- a/membership/test/cached_prefix-test.cc
+++ b/membership/test/cached_prefix-test.cc
@@ -6,13 +6,13 @@
 namespace trestlepost::membership {
 namespace {
 
-TEST(cached_prefix_test, a_list_is_read_as_it_was_written) {
-  const std::vector<cached_prefix> told{
+TEST(cached_prefix_test, a_list_survives_encoding) {
+  const std::vector<cached_prefix> encoded{
       {"i-1", {{0xffffffffffffffffULL, 4870}, {2, 1}}}, {"i-2", {{3, 512}}}};
-  EXPECT_EQ(cached_prefixes_from(to_json(told)), told);
+  EXPECT_EQ(cached_prefixes_from(to_json(encoded)), encoded);
 }
 
-TEST(cached_prefix_test, what_is_no_prefix_is_left_out) {
+TEST(cached_prefix_test, invalid_prefixes_are_skipped) {
   const char* const table[] = {"null",
                                "7",
                                "{}",
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(cached_prefix_test, a_damaged_section_ends_the_prefix) {
+TEST(cached_prefix_test, an_invalid_section_ends_the_prefix) {
   const result<json> value = parse_json("[[\"i-1\", 5, 6, \"x\", 7, 8, 9]]");
   ASSERT_TRUE(value);
   const std::vector<cached_prefix> expected{{"i-1", {{5, 6}}}};
--- a/membership/test/endpoint_tracker-test.cc
+++ b/membership/test/endpoint_tracker-test.cc
@@ -40,7 +40,7 @@
   endpoint_tracker tracker_;
 };
 
-TEST_F(endpoint_tracker_test, each_source_stops_new_work) {
+TEST_F(endpoint_tracker_test, each_source_can_make_an_endpoint_unusable) {
   tracker_.platform_listed("a:1", true, now_);
   EXPECT_FALSE(view("a").usable);
   tracker_.connection_refused("b", now_);
@@ -51,7 +51,7 @@
   EXPECT_FALSE(view("a").usable);
 }
 
-TEST_F(endpoint_tracker_test, a_drain_outlasts_the_platforms_list) {
+TEST_F(endpoint_tracker_test, a_drain_overrides_the_platforms_list) {
   declare(true);
   tracker_.platform_listed("a:1", true, now_);
   tracker_.platform_listed("a:1", false, now_);
@@ -60,7 +60,7 @@
   EXPECT_TRUE(view("a").usable);
 }
 
-TEST_F(endpoint_tracker_test, failures_eject_half_of_the_endpoints_at_most) {
+TEST_F(endpoint_tracker_test, failures_eject_at_most_half_of_the_endpoints) {
   for (const char* name : {"a", "b", "c", "d"}) {
     for (int i = 0; i < 5; ++i) tracker_.request_failed(name, now_);
   }
@@ -71,7 +71,7 @@
   EXPECT_EQ(usable, 2);
 }
 
-TEST_F(endpoint_tracker_test, an_endpoint_that_returns_ramps_up) {
+TEST_F(endpoint_tracker_test, a_returned_endpoint_ramps_up) {
   tracker_.connection_refused("a", now_);
   now_ += milliseconds(1000);
   tracker_.tick(now_);
@@ -85,7 +85,7 @@
   EXPECT_NEAR(view("a").limit, 8, 0.01);
 }
 
-TEST_F(endpoint_tracker_test, ejections_grow_longer) {
+TEST_F(endpoint_tracker_test, repeated_ejections_last_longer) {
   tracker_.connection_refused("a", now_);
   now_ += milliseconds(1000);
   tracker_.tick(now_);
@@ -98,14 +98,14 @@
   EXPECT_TRUE(view("a").usable);
 }
 
-TEST_F(endpoint_tracker_test, the_limit_follows_what_the_engine_reports) {
+TEST_F(endpoint_tracker_test, the_limit_follows_load_reports) {
   for (int i = 0; i < 10; ++i) tracker_.report("a", {8, 6, now_, 0});
   EXPECT_LT(view("a").limit, 4);
   for (int i = 0; i < 40; ++i) tracker_.report("a", {3, 0, now_, 0});
   EXPECT_NEAR(view("a").limit, 8, 0.5);
 }
 
-TEST_F(endpoint_tracker_test, a_report_is_a_hint_that_ages) {
+TEST_F(endpoint_tracker_test, a_load_report_loses_weight_with_age) {
   tracker_.report("a", {10, 0, now_, 0});
   EXPECT_NEAR(view("a").load, 10, 0.01);
   now_ += milliseconds(2500);
--- a/membership/test/heartbeats.h
+++ b/membership/test/make_heartbeat.h
@@ -8,9 +8,10 @@
 
 namespace trestlepost::membership::test {
 
-inline heartbeat beat(const std::string& name, const std::string& region,
-                      std::uint64_t sequence,
-                      const std::string& state = "ready") {
+inline heartbeat make_heartbeat(const std::string& name,
+                                const std::string& region,
+                                std::uint64_t sequence,
+                                const std::string& state = "ready") {
   heartbeat out;
   out.node.name = name;
   out.node.incarnation = 1;
--- a/membership/test/node_table-test.cc
+++ b/membership/test/node_table-test.cc
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "heartbeats.h"
+#include "make_heartbeat.h"
 
 #include "trestlepost/membership/directory.h"
 #include "trestlepost/membership/node_state.h"
@@ -12,18 +12,18 @@
 namespace {
 
 using std::chrono::milliseconds;
-using test::beat;
+using test::make_heartbeat;
 
 heartbeat gateway(const std::string& name, const std::string& region) {
-  heartbeat out = beat(name, region, 1);
+  heartbeat out = make_heartbeat(name, region, 1);
   out.node.forward_address = "127.0.0.1:2";
   return out;
 }
 
-TEST(node_table_test, silence_makes_a_node_suspect_then_dead) {
+TEST(node_table_test, a_silent_node_becomes_suspect_then_dead) {
   node_table table;
   const monotonic_time start;
-  table.observe(beat("a", "isola", 1), start);
+  table.observe(make_heartbeat("a", "isola", 1), start);
   const node_record& it = *table.find("a");
   EXPECT_EQ(table.state_of(it, start + milliseconds(1499)), peer_state::live);
   EXPECT_EQ(table.state_of(it, start + milliseconds(1500)),
@@ -34,16 +34,17 @@
 TEST(node_table_test, an_old_heartbeat_does_not_revive_a_node) {
   node_table table;
   const monotonic_time start;
-  table.observe(beat("a", "isola", 5), start);
-  table.observe(beat("a", "isola", 4), start + milliseconds(2000));
+  table.observe(make_heartbeat("a", "isola", 5), start);
+  table.observe(make_heartbeat("a", "isola", 4), start + milliseconds(2000));
   EXPECT_FALSE(table.is_live("a", start + milliseconds(2000)));
 }
 
-TEST(node_table_test, a_summary_speaks_only_for_its_own_region) {
+TEST(node_table_test, a_summary_updates_only_its_own_region) {
   node_table table;
   region_summary summary;
   summary.region = "golfo";
-  summary.nodes = {beat("v1", "golfo", 1), beat("e1", "isola", 9)};
+  summary.nodes = {make_heartbeat("v1", "golfo", 1),
+                   make_heartbeat("e1", "isola", 9)};
   table.observe(region_summary_from(to_json(summary)), monotonic_time());
   EXPECT_NE(table.find("v1"), nullptr);
   EXPECT_EQ(table.find("e1"), nullptr);
@@ -53,7 +54,7 @@
   node_table table;
   const monotonic_time now;
   for (int i = 0; i < 9; ++i) {
-    table.observe(beat("n" + std::to_string(i), "isola", 1), now);
+    table.observe(make_heartbeat("n" + std::to_string(i), "isola", 1), now);
   }
   const std::vector<const node_record*> relays = table.relays_of("isola", now);
   ASSERT_EQ(relays.size(), relays_per_region);
@@ -61,7 +62,7 @@
   for (int i = 0; i < 9; ++i) {
     const std::string name = "n" + std::to_string(i);
     if (name != lost) {
-      table.observe(beat(name, "isola", 2), now + milliseconds(2000));
+      table.observe(make_heartbeat(name, "isola", 2), now + milliseconds(2000));
     }
   }
   for (const node_record* it :
@@ -79,7 +80,7 @@
   table.observe(gateway("other", "isola"), now);
   table.observe(gateway("far", "golfo"), now);
   table.observe(gateway("silent", "isola"), start);
-  table.observe(beat("control", "isola", 1), now);
+  table.observe(make_heartbeat("control", "isola", 1), now);
   const std::vector<const node_record*> others =
       table.other_gateways(self.node, now);
   ASSERT_EQ(others.size(), 1U);
@@ -90,14 +91,14 @@
 // without recent contact may still be sending. If it were left out, another one
 // would take its place while it still sends; if many gateways are suspended or
 // have just started, each of the others would.
-TEST(node_table_test, a_gateway_that_is_not_heard_may_still_send) {
+TEST(node_table_test, a_suspect_gateway_is_a_possible_gateway) {
   node_table table;
   const monotonic_time start;
   const heartbeat self = gateway("self", "isola");
   table.observe(self, start);
   table.observe(gateway("silent", "isola"), start);
   table.observe(gateway("far", "golfo"), start);
-  table.observe(beat("control", "isola", 1), start);
+  table.observe(make_heartbeat("control", "isola", 1), start);
   const milliseconds silent{4000};
   ASSERT_FALSE(table.is_live("silent", start + silent));
   const std::vector<const node_record*> others =
@@ -111,13 +112,13 @@
 TEST(directory_test, ranks_by_state_distance_and_load) {
   node_table table;
   const monotonic_time now;
-  table.observe(beat("far", "golfo", 1), now);
-  table.observe(beat("cut", "isola", 1, "isolated"), now);
-  table.observe(beat("leaving", "isola", 1, "draining"), now);
-  heartbeat busy = beat("busy", "isola", 1);
+  table.observe(make_heartbeat("far", "golfo", 1), now);
+  table.observe(make_heartbeat("cut", "isola", 1, "isolated"), now);
+  table.observe(make_heartbeat("leaving", "isola", 1, "draining"), now);
+  heartbeat busy = make_heartbeat("busy", "isola", 1);
   busy.services["s"].in_flight = 9;
   table.observe(busy, now);
-  table.observe(beat("idle", "isola", 1), now);
+  table.observe(make_heartbeat("idle", "isola", 1), now);
   const std::vector<entry_view> ranked =
       rank_entries(table, {"isola", "", {}}, now);
   ASSERT_EQ(ranked.size(), 4U);
@@ -147,7 +148,7 @@
   EXPECT_FALSE(it.crosses_regions());
 }
 
-TEST(node_state_test, a_confirmation_counts_from_when_it_was_asked) {
+TEST(node_state_test, a_confirmation_is_valid_from_its_request_time) {
   monotonic_time now;
   node_state it = make_state(now);
   const monotonic_time asked = now;
@@ -156,7 +157,7 @@
   EXPECT_FALSE(it.crosses_regions());
 }
 
-TEST(node_state_test, without_a_stored_configuration_it_keeps_waiting) {
+TEST(node_state_test, a_node_without_configuration_keeps_waiting) {
   monotonic_time now;
   node_state it = make_state(now);
   it.tick(now += milliseconds(9000), false);
@@ -165,20 +166,20 @@
   EXPECT_TRUE(it.is(node_states::isolated));
 }
 
-TEST(node_state_test, a_node_learns_until_a_leader_confirmed_it_or_too_long) {
+TEST(node_state_test, a_node_catches_up_until_confirmed_or_timed_out) {
   const monotonic_time start;
   node_state it = make_state(start);
-  EXPECT_TRUE(it.is_learning(start + milliseconds(1900)));
-  EXPECT_FALSE(it.is_learning(start + milliseconds(2000)));
+  EXPECT_TRUE(it.is_catching_up(start + milliseconds(1900)));
+  EXPECT_FALSE(it.is_catching_up(start + milliseconds(2000)));
   it.confirm(start, start + milliseconds(100));
-  EXPECT_TRUE(it.is_learning(start + milliseconds(200)));
-  EXPECT_FALSE(it.is_learning(start + milliseconds(600)));
+  EXPECT_TRUE(it.is_catching_up(start + milliseconds(200)));
+  EXPECT_FALSE(it.is_catching_up(start + milliseconds(600)));
   // A partition later on leaves nothing to wait for.
   it.tick(start + milliseconds(9000), true);
-  EXPECT_FALSE(it.is_learning(start + milliseconds(9000)));
+  EXPECT_FALSE(it.is_catching_up(start + milliseconds(9000)));
 }
 
-TEST(node_state_test, a_node_that_stood_still_is_behind_until_it_is_confirmed) {
+TEST(node_state_test, a_suspended_node_is_behind_until_confirmed) {
   const monotonic_time start;
   node_state it = make_state(start);
   it.confirm(start, start);
@@ -191,14 +192,14 @@
   it.tick(resumed, true);
   it.confirm(start + milliseconds(3000), resumed);
   EXPECT_TRUE(it.is_behind(resumed));
-  EXPECT_TRUE(it.is_learning(resumed));
+  EXPECT_TRUE(it.is_catching_up(resumed));
   it.confirm(resumed, resumed + milliseconds(100));
   EXPECT_FALSE(it.is_behind(resumed + milliseconds(100)));
 }
 
 // Pending requests have already waited a second in the node's sockets, so the
 // node must not wait long for a leader.
-TEST(node_state_test, without_a_leader_a_node_that_stood_still_goes_on) {
+TEST(node_state_test, a_suspended_node_continues_without_a_leader) {
   const monotonic_time start;
   node_state it = make_state(start);
   it.tick(start, true);
--- a/node/src/digest_service.cc
+++ b/node/src/digest_service.cc
@@ -61,10 +61,10 @@
   if (in->relay == context_.self.name) return false;
   const monotonic_time now = context_.clock.now();
   const membership::digest_outcome outcome =
-      reader_.take(*in, context_.self, context_.nodes, now);
-  choice_.answered(in->relay);
-  if (outcome == membership::digest_outcome::old) return false;
-  if (outcome == membership::digest_outcome::missing) {
+      reader_.apply(*in, context_.self, context_.nodes, now);
+  choice_.digest_received(in->relay);
+  if (outcome == membership::digest_outcome::stale) return false;
+  if (outcome == membership::digest_outcome::gap) {
     log_event(log_level::debug, "digest-missed", {{"relay", in->relay}});
   }
   for (const auto& [endpoint, it] : in->reports) {
@@ -108,8 +108,8 @@
   if (!to_second && !chosen.empty()) chosen.resize(1);
   for (const std::string& name : chosen) {
     json params = heartbeat;
-    params["ask"] = membership::to_json(reader_.ask_for(name));
-    choice_.asked(name, now);
+    params["ask"] = membership::to_json(reader_.request_for(name));
+    choice_.heartbeat_sent(name, now);
     context_.links.send(mates.at(name), "node.heartbeat", params);
   }
 }
@@ -118,7 +118,8 @@
                               const membership::node_info& sender) {
   const json& ask = member_of(heartbeat, "ask");
   if (!ask.isObject()) return;
-  askers_[sender.name] = {sender.peer_address, membership::digest_ask_from(ask),
+  askers_[sender.name] = {sender.peer_address,
+                          membership::digest_request_from(ask),
                           context_.clock.now(), true};
 }
 
@@ -145,9 +146,9 @@
 void digest_service::answer(const std::string& name, const asker& it,
                             const shared_news& news) {
   const monotonic_time now = context_.clock.now();
-  membership::region_digest out = writer_.next(it.has, std::nullopt);
+  membership::region_digest out = writer_.make_digest(it.has, std::nullopt);
   out.services = news.services;
-  out.sums = membership::without(news.sums, context_.nodes, name, now);
+  out.sums = membership::excluding_node(news.sums, context_.nodes, name, now);
   out.reports = news.reports;
   const node_record* receiver = context_.nodes.find(name);
   if (receiver != nullptr) {
@@ -183,13 +184,13 @@
   if (version != told_version_) whole_left_ = whole_after_change;
   if (whole_left_ == 0 && now >= next_whole_) whole_left_ = 1;
   told_version_ = version;
-  membership::digest_ask has{writer_.life(), version};
+  membership::digest_request has{writer_.incarnation(), version};
   if (whole_left_ > 0) {
     has = {};
     --whole_left_;
     next_whole_ = now + whole_interval;
   }
-  membership::region_digest out = writer_.next(has, region);
+  membership::region_digest out = writer_.make_digest(has, region);
   out.services[region] = membership::service_means(context_.nodes, region, now);
   json params;
   params["digest"] = membership::to_json(out);
@@ -217,7 +218,7 @@
 
 membership::endpoint_sums digest_service::others() const {
   const monotonic_time now = context_.clock.now();
-  membership::endpoint_sums heard = membership::without(
+  membership::endpoint_sums heard = membership::excluding_node(
       membership::sum_of(context_.nodes, context_.self.region, now),
       context_.nodes, context_.self.name, now);
   const membership::endpoint_sums* told =
--- a/node/src/digest_service.h
+++ b/node/src/digest_service.h
@@ -13,7 +13,7 @@
 #include "node_context.h"
 #include "trestlepost/membership/digest_reader.h"
 #include "trestlepost/membership/digest_writer.h"
-#include "trestlepost/membership/relay_choice.h"
+#include "trestlepost/membership/relay_selector.h"
 
 namespace trestlepost::node {
 
@@ -45,7 +45,7 @@
  private:
   struct asker {
     std::string address;
-    membership::digest_ask has;
+    membership::digest_request has;
     monotonic_time asked_at;
     bool waiting = false;  // for an answer
   };
@@ -69,7 +69,7 @@
   node_context& context_;
   membership::digest_writer writer_;
   membership::digest_reader reader_;
-  membership::relay_choice choice_;
+  membership::relay_selector choice_;
   std::map<std::string, asker> askers_;  // by name
   std::uint64_t round_ = 0;              // of digests to those who asked
   std::uint64_t beats_ = 0;              // sent to relays
--- a/node/src/entry_handlers.cc
+++ b/node/src/entry_handlers.cc
@@ -33,7 +33,7 @@
   membership::host_regions out;
   const config::plan_ptr& plan = context.store.plan();
   if (!plan) return out;
-  out.closed = closed_regions(context);
+  out.evacuated = closed_regions(context);
   std::set<std::string> homes;
   bool any = false;
   bool free = false;
@@ -44,7 +44,7 @@
     homes.insert(it.home_regions.begin(), it.home_regions.end());
   }
   out.homes.assign(homes.begin(), homes.end());
-  out.every_route = any && !free;
+  out.all_routes_bound = any && !free;
   return out;
 }
 
@@ -65,7 +65,7 @@
         context_.self.region,
         beats_until_silent * heartbeat_interval(context_)};
     const std::vector<membership::entry_view> entries =
-        membership::entries_near(context_.nodes, *query,
+        membership::find_entries(context_.nodes, *query,
                                  regions_of(context_, query->host), options,
                                  context_.clock.now());
     if (entries.empty()) {
--- a/node/src/heartbeat_service.cc
+++ b/node/src/heartbeat_service.cc
@@ -68,7 +68,7 @@
 void heartbeat_service::share_in_flight() {
   unshared_ = false;
   const membership::endpoint_sums others = digests_.others();
-  context_.endpoints.others_in_flight(others.in_flight);
+  context_.endpoints.set_others_in_flight(others.in_flight);
   if (on_region_heard) on_region_heard(others);
 }
 
@@ -195,7 +195,7 @@
     next_beat_ = now + digests_.interval();
     send_heartbeats();
     digests_.answer_asks();
-    context_.nodes.forget_old(now);
+    context_.nodes.remove_expired(now);
   }
   if (unshared_) share_in_flight();
   if (now >= next_summary_) {
--- a/node/src/region_peers.cc
+++ b/node/src/region_peers.cc
@@ -3,7 +3,7 @@
 #include <set>
 
 #include "trestlepost/membership/region_digest.h"
-#include "trestlepost/membership/relay_choice.h"
+#include "trestlepost/membership/relay_selector.h"
 
 namespace trestlepost::node {
 
@@ -23,13 +23,13 @@
 }
 
 bool sends_by_relays(const node_context& context) {
-  return region_mates(context).size() + 1 > membership::largest_mesh;
+  return region_mates(context).size() + 1 > membership::max_mesh_nodes;
 }
 
 std::chrono::milliseconds heartbeat_interval(const node_context& context) {
-  return membership::beat_interval(context.options.timing.heartbeat_interval,
-                                   region_mates(context).size() + 1,
-                                   context.nodes.options());
+  return membership::scaled_heartbeat_interval(
+      context.options.timing.heartbeat_interval,
+      region_mates(context).size() + 1, context.nodes.options());
 }
 
 std::vector<std::string> other_regions(const node_context& context) {
--- a/tests/test/suspension-test.cc
+++ b/tests/test/suspension-test.cc
@@ -47,12 +47,12 @@
   const monotonic_time asked_at = clock.now();
   state.confirm(asked_at, clock.now());
   state.tick(clock.now(), true);
-  ASSERT_TRUE(state.may_cross(clock.now()));
+  ASSERT_TRUE(state.may_cross_regions(clock.now()));
   suspend_machine(suspension);
   EXPECT_FALSE(state.confirmed_at(clock.now()));
   state.tick(clock.now(), true);
   EXPECT_TRUE(state.is_behind(clock.now()));
-  EXPECT_FALSE(state.may_cross(clock.now()));
+  EXPECT_FALSE(state.may_cross_regions(clock.now()));
 }
 
 /// A peer that takes connections and says nothing.
