--- a/consensus/include/trestlepost/consensus/group_formation.h
+++ b/consensus/include/trestlepost/consensus/group_formation.h
@@ -22,10 +22,11 @@
 /// no messages itself.
 class group_formation {
  public:
-  /// `sender_addresses` maps each node to the sender address of its last
+  /// `observed_addresses` maps each node to the sender address of its last
   /// message; it must outlive this object.
-  explicit group_formation(std::map<std::string, std::string>& sender_addresses)
-      : sender_addresses_(sender_addresses) {}
+  explicit group_formation(
+      std::map<std::string, std::string>& observed_addresses)
+      : observed_addresses_(observed_addresses) {}
 
   /// Updates whether this replica leads, and its own address. Call it at every
   /// tick.
@@ -53,7 +54,7 @@
   void update_member_address(group_host& host, monotonic_time now,
                              const replica_id& id, const std::string& address);
 
-  std::map<std::string, std::string>& sender_addresses_;
+  std::map<std::string, std::string>& observed_addresses_;
   std::optional<monotonic_time> leading_since_;
   monotonic_time last_join_at_;
 };
--- a/consensus/src/group_formation.cc
+++ b/consensus/src/group_formation.cc
@@ -44,14 +44,15 @@
                                      const replica_id& from,
                                      const std::string& address) {
   if (address.empty()) return;
-  sender_addresses_[from.node] = address;
+  observed_addresses_[from.node] = address;
   update_member_address(host, now, from, address);
 }
 
 std::string group_formation::address_of(const group_host& host,
                                         const std::string& node) const {
-  const auto record_address = sender_addresses_.find(node);
-  if (record_address != sender_addresses_.end()) return record_address->second;
+  const auto record_address = observed_addresses_.find(node);
+  if (record_address != observed_addresses_.end())
+    return record_address->second;
   const member* member = host.find_member(node);
   return member == nullptr ? "" : member->address;
 }
@@ -60,7 +61,7 @@
                                   const replica_id& joiner,
                                   const std::string& address) {
   // An earlier machine of this name may have sent from another address.
-  if (!address.empty()) sender_addresses_[joiner.node] = address;
+  if (!address.empty()) observed_addresses_[joiner.node] = address;
   if (!host.core().is_leader()) return false;
   last_join_at_ = now;
   host.handle_join(now, joiner, address);
--- a/consensus/test/group_formation-test.cc
+++ b/consensus/test/group_formation-test.cc
@@ -40,8 +40,8 @@
   monotonic_time now{milliseconds(1000)};
   group_host host{{"a", 1}, {},   std::make_unique<simulated_storage>(disk),
                   machine,  sink, random};
-  std::map<std::string, std::string> sender_addresses;
-  group_formation growth{sender_addresses};
+  std::map<std::string, std::string> observed_addresses;
+  group_formation growth{observed_addresses};
 };
 
 TEST(group_formation_test,
--- a/consensus/test/replica-test.cc
+++ b/consensus/test/replica-test.cc
@@ -300,16 +300,16 @@
 }
 
 /// Command bytes in the largest message of `out`.
-std::size_t longest_message(const output& out) {
-  std::size_t most = 0;
+std::size_t largest_message_bytes(const output& out) {
+  std::size_t max_bytes = 0;
   for (const message& it : out.messages) {
     const append_request* body = std::get_if<append_request>(&it.body);
     if (body == nullptr) continue;
     std::size_t bytes = 0;
     for (const entry& one : body->entries) bytes += one.data.size();
-    most = std::max(most, bytes);
+    max_bytes = std::max(max_bytes, bytes);
   }
-  return most;
+  return max_bytes;
 }
 
 /// The leader of three replicas, with commands in its log that b lacks; c
@@ -377,10 +377,12 @@
   leader_with_log it(5, 10);
   std::size_t sent = commands_to(id_b, it.reject_by_b());
   EXPECT_EQ(sent, 5U);
-  for (int beat = 0; beat < 9; ++beat) sent += commands_to(id_b, it.tick());
+  for (int heartbeat_round = 0; heartbeat_round < 9; ++heartbeat_round)
+    sent += commands_to(id_b, it.tick());
   EXPECT_EQ(sent, 5U);
   // The first message may have been lost.
-  for (int beat = 0; beat < 5; ++beat) sent += commands_to(id_b, it.tick());
+  for (int heartbeat_round = 0; heartbeat_round < 5; ++heartbeat_round)
+    sent += commands_to(id_b, it.tick());
   EXPECT_EQ(sent, 10U);
 }
 
@@ -389,10 +391,10 @@
 TEST(replica_test, a_long_log_is_sent_in_messages_of_bounded_size) {
   constexpr std::size_t half_limit = 512UL * 1024;
   leader_with_log it(6, half_limit);
-  std::size_t most = longest_message(it.reject_by_b());
-  most = std::max(most, longest_message(it.confirm_by_b()));
-  EXPECT_GT(most, 0U);
-  EXPECT_LE(most, 2 * half_limit);
+  std::size_t max_bytes = largest_message_bytes(it.reject_by_b());
+  max_bytes = std::max(max_bytes, largest_message_bytes(it.confirm_by_b()));
+  EXPECT_GT(max_bytes, 0U);
+  EXPECT_LE(max_bytes, 2 * half_limit);
 }
 
 TEST(message_test, a_message_survives_encoding) {
--- a/membership/include/trestlepost/membership/node_state.h
+++ b/membership/include/trestlepost/membership/node_state.h
@@ -51,9 +51,9 @@
   node_state(charts::chart chart, node_state_options options,
              monotonic_time now);
 
-  /// A leader has confirmed that the configuration was current at `asked_at`,
-  /// the time at which this node sent its request.
-  void confirm(monotonic_time asked_at, monotonic_time now);
+  /// A leader has confirmed that the configuration was current at
+  /// `requested_at`, the time at which this node sent its request.
+  void confirm(monotonic_time requested_at, monotonic_time now);
   void order_stop();
   void tick(monotonic_time now, bool has_configuration);
 
--- a/membership/src/node_state.cc
+++ b/membership/src/node_state.cc
@@ -31,11 +31,11 @@
   state_ = next;
 }
 
-void node_state::confirm(monotonic_time asked_at, monotonic_time now) {
+void node_state::confirm(monotonic_time requested_at, monotonic_time now) {
   confirmed_until_ =
-      std::max(confirmed_until_, asked_at + options_.config_lease);
+      std::max(confirmed_until_, requested_at + options_.config_lease);
   if (!first_confirmed_at_) first_confirmed_at_ = now;
-  if (resumed_at_ && asked_at >= *resumed_at_) resumed_at_.reset();
+  if (resumed_at_ && requested_at >= *resumed_at_) resumed_at_.reset();
   if (confirmed_at(now)) handle("confirmed", true);
 }
 
--- a/membership/src/node_table.cc
+++ b/membership/src/node_table.cc
@@ -177,8 +177,8 @@
     // itself.
     const bool known_by_digest =
         record.updated_by_digest && in.sequence == record.last.sequence;
-    const bool newer = in.sequence > record.last.sequence || known_by_digest;
-    if (same_incarnation && !newer) return;
+    const bool is_newer = in.sequence > record.last.sequence || known_by_digest;
+    if (same_incarnation && !is_newer) return;
   }
   nodes_[in.node.name] = {in, now, now, now, load_of(in), false};
 }
--- a/membership/src/relay_selector.cc
+++ b/membership/src/relay_selector.cc
@@ -76,9 +76,9 @@
     const suspicion_options& suspicion) {
   const std::size_t groups = std::max<std::size_t>(
       1, (nodes + nodes_per_base_interval - 1) / nodes_per_base_interval);
-  const std::chrono::milliseconds longest =
+  const std::chrono::milliseconds max_interval =
       std::max(base, suspicion.suspect_after / heartbeats_until_suspect);
-  return std::min(base * static_cast<int>(groups), longest);
+  return std::min(base * static_cast<int>(groups), max_interval);
 }
 
 }  // namespace trestlepost::membership
--- a/membership/test/node_table-test.cc
+++ b/membership/test/node_table-test.cc
@@ -151,9 +151,9 @@
 TEST(node_state_test, a_confirmation_is_valid_from_its_request_time) {
   monotonic_time now;
   node_state it = make_state(now);
-  const monotonic_time asked = now;
+  const monotonic_time request_time = now;
   now += milliseconds(6000);  // suspended before the reply was read
-  it.confirm(asked, now);
+  it.confirm(request_time, now);
   EXPECT_FALSE(it.crosses_regions());
 }
 
