--- a/consensus/src/group_formation.cc
+++ b/consensus/src/group_formation.cc
@@ -50,9 +50,8 @@
 
 std::string group_formation::address_of(const group_host& host,
                                         const std::string& node) const {
-  const auto record_address = observed_addresses_.find(node);
-  if (record_address != observed_addresses_.end())
-    return record_address->second;
+  const auto it = observed_addresses_.find(node);
+  if (it != observed_addresses_.end()) return it->second;
   const member* member = host.find_member(node);
   return member == nullptr ? "" : member->address;
 }
--- a/consensus/test/replica-test.cc
+++ b/consensus/test/replica-test.cc
@@ -377,12 +377,10 @@
   leader_with_log it(5, 10);
   std::size_t sent = commands_to(id_b, it.reject_by_b());
   EXPECT_EQ(sent, 5U);
-  for (int heartbeat_round = 0; heartbeat_round < 9; ++heartbeat_round)
-    sent += commands_to(id_b, it.tick());
+  for (int i = 0; i < 9; ++i) sent += commands_to(id_b, it.tick());
   EXPECT_EQ(sent, 5U);
   // The first message may have been lost.
-  for (int heartbeat_round = 0; heartbeat_round < 5; ++heartbeat_round)
-    sent += commands_to(id_b, it.tick());
+  for (int i = 0; i < 5; ++i) sent += commands_to(id_b, it.tick());
   EXPECT_EQ(sent, 10U);
 }
 
