--- a/charts/include/trestlepost/charts/chart.h
+++ b/charts/include/trestlepost/charts/chart.h
@@ -1,4 +1,5 @@
-// State charts: read from files, checked whole, then interpreted.
+// State charts (state machines) that are read from files, validated completely
+// and then interpreted.
 #pragma once
 
 #include <filesystem>
@@ -12,21 +13,21 @@
 
 namespace trestlepost::charts {
 
-/// What the code that drives a chart can offer it.
+/// The states, events and guards that the code using a chart supports.
 struct chart_interface {
-  std::vector<std::string> states;  // states that the code asks about
+  std::vector<std::string> states;  // states that the code refers to
   std::vector<std::string> events;
   std::vector<std::string> guards;
 };
 
-/// Answers whether a named guard holds now.
+/// Returns whether the named guard holds now.
 using guard_function = std::function<bool(const std::string&)>;
 
-/// A checked chart. Every state handles or ignores every event, every state
-/// can be reached, and every guard is known to the code.
+/// A validated chart. Every state handles or ignores every event, every state
+/// is reachable, and every guard is known to the code.
 class chart {
  public:
-  /// Reads a chart in JSON with comments. All mistakes are reported at once.
+  /// Reads a chart from JSON with comments. Reports all errors at once.
   static result<chart> parse(const std::string& text, const std::string& file,
                              const chart_interface& code);
   static result<chart> load(const std::filesystem::path& file,
@@ -34,15 +35,15 @@
 
   const std::string& initial() const { return initial_; }
 
-  /// The state after `event`; the same state when the event is ignored or no
-  /// guard holds.
+  /// Returns the state after `event`, or `state` itself if the event is ignored
+  /// or no guard holds.
   const std::string& next(const std::string& state, const std::string& event,
                           const guard_function& holds) const;
 
  private:
   struct transition {
     std::string target;
-    std::string guard;  // empty: always
+    std::string guard;  // empty: unconditional
   };
   using event_map = std::map<std::string, std::vector<transition>, std::less<>>;
 
--- a/charts/src/chart.cc
+++ b/charts/src/chart.cc
@@ -1,3 +1,4 @@
+// Reads, validates and interprets state charts.
 #include "trestlepost/charts/chart.h"
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
 }  // namespace
 
-/// Reads one chart and collects its mistakes.
+/// Reads one chart and collects all errors in it.
 class chart_reader {
  public:
   chart_reader(const std::string& text, const chart_interface& code)
@@ -61,7 +62,7 @@
     for (const auto& [event, unused] : events) {
       if (contains(code_.events, event)) continue;
       problems_.add(
-          value, "states." + name, "event \"" + event + "\" never happens",
+          value, "states." + name, "event \"" + event + "\" is unknown",
           "did you mean \"" + nearest_word(event, code_.events) + "\"?");
     }
     for (const std::string& event : code_.events) {
@@ -80,7 +81,7 @@
       return out;
     }
     if (!value.isArray()) {
-      problems_.add(value, path, "a state or a list of guarded states is due",
+      problems_.add(value, path, "expected a state or a list of guarded states",
                     "write \"state\" or [{\"guard\": g, \"to\": state}]");
       return out;
     }
@@ -133,7 +134,8 @@
     }
     for (const auto& [name, unused] : out_.states_) {
       if (seen.contains(name)) continue;
-      problems_.add(states[name], "states." + name, "it can't be reached",
+      problems_.add(states[name], "states." + name,
+                    "the state can't be reached",
                     "add a transition to it, or remove it");
     }
   }
@@ -142,7 +144,7 @@
     for (const std::string& name : code_.states) {
       if (out_.states_.contains(name)) continue;
       problems_.add(states, "states", "state \"" + name + "\" is missing",
-                    "add it: the code asks about it");
+                    "add it; the code requires this state");
     }
   }
 
@@ -157,13 +159,13 @@
   if (!document) {
     return fail(error_kind::bad_settings,
                 file + ": " + document.error().message,
-                "mend the chart, or install the shipped one again");
+                "fix the chart or reinstall the shipped one");
   }
   chart_reader reader(text, code);
   chart out = reader.read(*document);
   if (!reader.problems().empty()) {
     return fail(error_kind::bad_settings, reader.problems().to_text(file),
-                "mend the chart, or install the shipped one again");
+                "fix the chart or reinstall the shipped one");
   }
   return out;
 }
--- a/charts/test/chart-test.cc
+++ b/charts/test/chart-test.cc
@@ -1,3 +1,4 @@
+// Transitions with guards, and rejection of invalid charts.
 #include "trestlepost/charts/chart.h"
 
 #include <gtest/gtest.h>
--- a/ledger/include/trestlepost/ledger/claim_table.h
+++ b/ledger/include/trestlepost/ledger/claim_table.h
@@ -1,5 +1,5 @@
-// The claims and outcomes of one gateway that are under way: proposes them
-// until its own replica has applied them.
+// The pending claims and outcomes of one gateway. Each is proposed repeatedly
+// until the gateway's own replica has applied it.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,8 @@
 
 namespace trestlepost::ledger {
 
-/// Brings a command to the leader of the region's group; may lose it.
+/// Sends a command to the leader of the region's consensus group. Commands may
+/// be lost.
 class command_proposer {
  public:
   virtual ~command_proposer() = default;
@@ -26,19 +27,20 @@
 
   using decided_function = std::function<void(const claim_decision&)>;
 
-  /// Proposes until decided; `decided` is called once unless abandoned.
+  /// Proposes the command until it is decided. `decided` is called once, unless
+  /// the attempt is abandoned before.
   void claim(const claim_command& asked, monotonic_time now,
              decided_function decided);
   void fence(const fence_command& asked, monotonic_time now,
              decided_function decided);
 
-  /// Gives a claim up. Should it be granted later, it is released as not run.
+  /// Abandons a claim. If it is granted later, it is released as not run.
   void abandon(const std::string& attempt);
 
   /// Proposes an outcome until it is recorded.
   void finish(const finish_command& told, monotonic_time now);
 
-  /// From the state machine of this node's replica.
+  /// Called by the state machine of this node's replica.
   void on_decided(const claim_decision& decided, const std::string& key,
                   monotonic_time now);
   void on_finished(const std::string& attempt);
@@ -46,8 +48,8 @@
   void tick(monotonic_time now);
   std::size_t pending() const { return claims_.size() + outcomes_.size(); }
 
-  /// Marks the attempts of this process, so that a late grant of one that was
-  /// given up is recognised.
+  /// Sets the prefix of this process's attempt ids, by which a late grant of an
+  /// abandoned claim is recognised.
   void set_own_prefix(std::string prefix) { own_prefix_ = std::move(prefix); }
 
  private:
--- a/ledger/include/trestlepost/ledger/record.h
+++ b/ledger/include/trestlepost/ledger/record.h
@@ -1,4 +1,4 @@
-// The run-once ledger's records and commands.
+// Records and commands of the run-once ledger.
 #pragma once
 
 #include <chrono>
@@ -10,23 +10,24 @@
 
 namespace trestlepost::ledger {
 
-/// Largest answer that is kept for replay, in bytes.
+/// Size limit of answers stored for replay, in bytes.
 inline constexpr std::size_t largest_kept_answer = 64UL * 1024;
 
-/// After a key's window its record shrinks to a tombstone, kept this long, so
-/// that an expired key is refused and not run afresh.
+/// Time for which the record of an expired key is kept as a tombstone, so that
+/// a request with this key is refused instead of run again.
 inline constexpr std::chrono::hours tombstone_lifetime{24 * 7};
 
-/// Names one request of one caller to one service; not reversible.
+/// Returns the key of a request: a hash of caller, service and idempotency key
+/// that does not reveal them.
 std::string record_key(const std::string& caller, const std::string& service,
                        const std::string& idempotency_key);
 
-/// An answer as it went to the caller.
+/// An answer as it was sent to the caller.
 struct stored_answer {
   unsigned status = 0;
   std::string content_type;
   std::string body;
-  bool complete = false;  // false: too large to keep
+  bool complete = false;  // false: too large to store
 };
 
 enum class record_state { claimed, done, unknown, moved, expired };
@@ -36,12 +37,12 @@
   std::string digest;   // of the request
   std::string attempt;  // id of the attempt that holds the claim
   wall_time claimed_at;
-  wall_time deadline;  // after it a claim without outcome is unknown
+  wall_time deadline;  // after it, a claim without outcome is unknown
   wall_time kept_until;
   stored_answer answer;
 };
 
-/// Asks for the right to run a request.
+/// Requests the right to run a request.
 struct claim_command {
   std::string key;
   std::string digest;
@@ -53,7 +54,7 @@
 
 enum class run_outcome { done, not_run, unknown };
 
-/// Tells how an attempt ended.
+/// Reports the outcome of an attempt.
 struct finish_command {
   std::string key;
   std::string attempt;
@@ -61,10 +62,10 @@
   stored_answer answer;
 };
 
-/// Closes a key here because another region owns it from now on.
+/// Closes a key in this region because another region owns it from now on.
 struct fence_command {
   std::string key;
-  std::string digest;  // of the request, to compare with a record found
+  std::string digest;  // of the request, to compare with an existing record
   std::string attempt;
   wall_time at;
   std::chrono::milliseconds window{0};
--- a/ledger/include/trestlepost/ledger/state_machine.h
+++ b/ledger/include/trestlepost/ledger/state_machine.h
@@ -1,4 +1,5 @@
-// The ledger of one region: who may run a request that must not run twice.
+// The replicated ledger of one region, which grants the right to run requests
+// that must not run twice.
 #pragma once
 
 #include <functional>
@@ -12,9 +13,11 @@
 namespace trestlepost::ledger {
 
 struct ledger_limits {
-  /// Records kept at most; a claim beyond is refused, never run unrecorded.
+  /// Maximum number of records. Further claims are refused, since a request
+  /// must not run without a record.
   std::size_t records = 1'000'000;
-  /// Mechanisms left out on purpose, for tests that show what catches it.
+  /// Disable single mechanisms, for tests that show that the checks detect
+  /// their absence.
   bool grant_after_unknown = false;
   bool skip_digest_check = false;
 };
@@ -30,7 +33,7 @@
   std::size_t size() const { return records_.size(); }
   const record* find(const std::string& key) const;
 
-  /// Called for every decided claim or fence, on every replica.
+  /// Called on every replica for each decided claim or fence.
   std::function<void(const claim_decision&, const std::string& key)> on_decided;
   /// Called when an outcome is recorded.
   std::function<void(const std::string& attempt)> on_finished;
--- a/ledger/src/claim_table.cc
+++ b/ledger/src/claim_table.cc
@@ -1,3 +1,4 @@
+// Proposes claims and outcomes again until they are applied.
 #include "trestlepost/ledger/claim_table.h"
 
 #include <utility>
@@ -6,8 +7,8 @@
 namespace trestlepost::ledger {
 namespace {
 
-// Grants are remembered this long, to pass over a claim that the log holds
-// twice.
+// Time for which granted attempts are kept, to ignore a claim that is in the
+// log twice.
 constexpr std::chrono::minutes granted_lifetime{10};
 
 }  // namespace
@@ -18,7 +19,8 @@
   added.command = std::move(command);
   added.decided = std::move(decided);
   added.sent_at = now;
-  // A copy: the proposal may be decided before `propose` returns.
+  // A copy, since the command may be decided and erased before `propose`
+  // returns.
   const json sent = added.command;
   proposer_.propose(sent);
 }
--- a/ledger/src/record.cc
+++ b/ledger/src/record.cc
@@ -1,3 +1,4 @@
+// JSON form of the records and commands of the ledger.
 #include "trestlepost/ledger/record.h"
 
 #include <array>
@@ -131,7 +132,7 @@
 claim_decision claim_decision_from(const json& value) {
   claim_decision out;
   out.attempt = text_of(value, "attempt");
-  // A peer that says something unknown must not grant anything.
+  // An unknown verdict from a peer must not grant a claim.
   const std::uint64_t verdict = number_of(value, "verdict");
   out.verdict = verdict < verdict_names.size()
                     ? static_cast<claim_verdict>(verdict)
--- a/ledger/src/state_machine.cc
+++ b/ledger/src/state_machine.cc
@@ -1,3 +1,4 @@
+// Applies claims, outcomes and fences to the records of the ledger.
 #include "trestlepost/ledger/state_machine.h"
 
 #include <algorithm>
@@ -100,7 +101,7 @@
   if (found.digest != asked.digest && !limits_.skip_digest_check) {
     return decision(asked.attempt, claim_verdict::mismatch);
   }
-  // The same proposal may reach the log twice.
+  // The same command may be in the log twice.
   if (found.state == record_state::claimed && found.attempt == asked.attempt) {
     return decision(asked.attempt, claim_verdict::granted);
   }
--- a/ledger/test/ledger-test.cc
+++ b/ledger/test/ledger-test.cc
@@ -1,3 +1,4 @@
+// Decisions of the ledger, snapshots, and claims over a lossy log.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -96,7 +97,7 @@
   it.claim("a1");
   it.finish("a1", run_outcome::not_run);
   EXPECT_EQ(it.claim("a2"), claim_verdict::granted);
-  it.finish("a1", run_outcome::not_run);  // late, of a former attempt
+  it.finish("a1", run_outcome::not_run);  // late outcome of an earlier attempt
   EXPECT_EQ(it.claim("a3"), claim_verdict::in_progress);
 }
 
@@ -133,7 +134,7 @@
             claim_verdict::in_progress);
 }
 
-/// Loses, delays and repeats proposals before they reach the log.
+/// Drops, delays, reorders and duplicates proposals before they reach the log.
 class lossy_proposer final : public command_proposer {
  public:
   explicit lossy_proposer(std::uint64_t seed) : random(seed) {}
@@ -147,7 +148,8 @@
   std::vector<json> waiting;
 };
 
-/// Several gateways race for few keys; some give up, some die.
+/// Two gateways compete for a few keys; some claims are abandoned, and some
+/// gateways crash before they report an outcome.
 RC_GTEST_PROP(ledger_property, no_key_runs_twice, (std::uint64_t seed)) {
   ledger_state_machine machine;
   lossy_proposer proposer(seed);
@@ -185,7 +187,7 @@
               return;
             }
             ++runs[key];
-            if (fate == 1) return;  // died: no outcome
+            if (fate == 1) return;  // crashed without an outcome
             table.finish({key, attempt, run_outcome::done, {}}, now);
           });
       if (fate == 3) table.abandon(attempt);
--- a/routing/include/trestlepost/routing/acceptance.h
+++ b/routing/include/trestlepost/routing/acceptance.h
@@ -1,5 +1,5 @@
-// How likely an endpoint, or a region, takes a request: learned from whether
-// requests sent there were rejected unrun a short time ago.
+// Estimates the probability that an endpoint or a region accepts a request,
+// from the recent share of requests that it rejected without running them.
 #pragma once
 
 #include <functional>
@@ -10,24 +10,25 @@
 
 namespace trestlepost::routing {
 
-/// Answers the pattern of endpoints that reject at once: they look idle, so
-/// that whatever weighs load alone prefers them. Each outcome fades within
-/// seconds, and what is not heard of is trusted, so an endpoint that recovers
-/// is tried again without a probe.
+/// Keeps traffic away from endpoints that reject every request immediately.
+/// Such endpoints look idle, so a choice by load alone would prefer them.
+/// Outcomes decay within seconds and places without recent outcomes are
+/// trusted, so a recovered endpoint gets requests again without a probe.
 class acceptance {
  public:
-  /// A request that was sent to `place` was taken, or rejected unrun.
+  /// Records that `place` accepted a request, or rejected it without running
+  /// it.
   void taken(const std::string& place, monotonic_time now);
   void rejected(const std::string& place, monotonic_time now);
 
-  /// The chance that `place` takes the next request, above 0 and up to 1.
+  /// Returns the probability that `place` accepts the next request, in (0, 1].
   double chance(const std::string& place, monotonic_time now) const;
 
-  /// Forgets the places that `known` does not hold for.
+  /// Removes all places for which `known` returns false.
   void keep(const std::function<bool(const std::string&)>& known);
 
  private:
-  /// Outcomes, older ones for less.
+  /// Exponentially decayed counts as of `at`.
   struct outcomes {
     double taken = 0;
     double rejected = 0;
--- a/routing/include/trestlepost/routing/cold_limiter.h
+++ b/routing/include/trestlepost/routing/cold_limiter.h
@@ -1,5 +1,5 @@
-// Keeps the requests that cold endpoints get below what they bear, over all
-// gateways of a region together and without asking any of them.
+// Limits the request rate to cold endpoints. All gateways of a region together
+// stay below the limit of an endpoint without coordination.
 #pragma once
 
 #include <chrono>
@@ -11,28 +11,30 @@
 namespace trestlepost::routing {
 
 struct cold_limit_options {
-  /// The share of the rate that a cold endpoint bears which is used. The rest
-  /// covers gateways that differ for a moment on who may send.
+  /// Share of a cold endpoint's rate limit that is used. The rest allows for
+  /// gateways that briefly disagree on which of them may send.
   double used_share = 0.7;
 };
 
-/// Two gateways of a region, the highest by rendezvous hash for the endpoint,
-/// may send to a cold endpoint, each half of what it bears.
+/// Rate limit for requests to cold endpoints. The two gateways of a region with
+/// the highest rendezvous hash for an endpoint may send to it, each up to half
+/// of its limit.
 class cold_limiter {
  public:
   static constexpr std::size_t senders_per_endpoint = 2;
 
   explicit cold_limiter(cold_limit_options options = {}) : options_(options) {}
 
-  /// Whether a request may go to cold `endpoint`, which bears `per_second`
-  /// requests from all gateways. Nothing is taken yet.
+  /// Returns whether a request may be sent to cold `endpoint`, which accepts
+  /// `per_second` requests from all gateways together (0: no limit). Records
+  /// nothing; call `sent` once the request was sent.
   bool may_send(const std::string& endpoint, double per_second,
                 monotonic_time now) const;
 
-  /// A request went to it.
+  /// Records that a request was sent to `endpoint`.
   void sent(const std::string& endpoint, monotonic_time now);
 
-  /// Forgets what was sent before `before`.
+  /// Removes endpoints whose last request was sent before `before`.
   void forget(monotonic_time before);
 
  private:
--- a/routing/include/trestlepost/routing/crash_blame.h
+++ b/routing/include/trestlepost/routing/crash_blame.h
@@ -1,5 +1,5 @@
-// Which requests crash the endpoints that run them, judged by the crashes that
-// gateways report. No I/O.
+// Determines which requests crash the endpoints that run them, from the crash
+// reports of the gateways. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace trestlepost::routing {
 
-/// One request that ran at an endpoint when it crashed.
+/// A request that was running on an endpoint when the endpoint crashed.
 struct crash_report {
   std::string fingerprint;  // of the request
   std::string endpoint;
@@ -20,59 +20,64 @@
   monotonic_time at{};
 };
 
-/// A request that is to be held back: what its endpoints crashed of.
+/// A request to hold, with the crashes attributed to it.
 struct crash_verdict {
   std::string fingerprint;
   std::string service;
-  std::vector<std::string> endpoints;  // that crashed under it
+  // endpoints that crashed while running it
+  std::vector<std::string> endpoints;
 };
 
 struct crash_blame_limits {
-  /// Crashes that condemn a request. Two are too few: dozens of requests run
-  /// where one crashes an endpoint, and are then sent elsewhere together.
+  /// Attributed crashes after which a request is held. Two are too few: an
+  /// endpoint runs dozens of requests when one of them crashes it, and all of
+  /// them are then retried on other endpoints together.
   std::size_t crashes_to_hold = 3;
-  /// Crashes after which others are told to watch a request.
+  /// Attributed crashes after which gateways are told to report successful runs
+  /// of the request.
   std::size_t crashes_to_suspect = 2;
-  /// After a crash the reports of all gateways are waited for: those of the
-  /// request that is to blame may come last.
+  /// Time to wait for the reports of all gateways after a crash, since the
+  /// report on the request that caused it may arrive last.
   std::chrono::milliseconds settle_time{150};
-  /// A request that ended well so short a time ago isn't condemned.
+  /// A request that completed successfully within this time is not held.
   std::chrono::milliseconds alibi{3000};
-  /// Crashes kept, and requests kept of each; the oldest go first.
+  /// Number of crashes kept, and of requests kept per crash. The oldest crashes
+  /// are dropped first.
   std::size_t most_crashes = 4000;
   std::size_t most_requests_of_a_crash = 512;
 };
 
-/// Counts crashes by request. Up to some dozens of requests run where one of
-/// them crashes an endpoint, so a crash is laid to those of them that have met
-/// most crashes: it does not count against a request beside which another one
-/// has met more. A run to a good end takes back all blame, since what crashes
-/// an endpoint does so each time.
+/// Counts crashes by request. An endpoint runs up to some dozens of requests
+/// when one of them crashes it. A crash is therefore attributed only to those
+/// of its requests that have seen the most crashes, and does not count against
+/// a request that ran beside one with more crashes. A successful run clears all
+/// earlier crashes of a request, since a request that crashes endpoints does so
+/// on each run.
 ///
-/// The order of reports doesn't matter, nor whether one comes twice. So each
-/// node that hears them all comes to the same verdicts.
+/// The result does not depend on the order of reports or on duplicates, so all
+/// nodes that receive the same reports reach the same result.
 class crash_blame {
  public:
   explicit crash_blame(const crash_blame_limits& limits = {})
       : limits_(limits) {}
 
   void crashed(const crash_report& report, monotonic_time now);
-  /// A run of the request ended well at `at`.
+  /// Records a successful run of the request that ended at `at`.
   void ended_well(const std::string& fingerprint, monotonic_time at);
 
-  /// The crashes that count against the request.
+  /// Returns the number of crashes attributed to the request.
   std::size_t counted(const std::string& fingerprint) const;
-  /// Whether any crash is on record for it.
+  /// Returns whether any crash is recorded for the request.
   bool is_accused(const std::string& fingerprint) const {
     return requests_.contains(fingerprint);
   }
-  /// Requests that are to be held back from now on. Each is told once, until
-  /// `forget`.
+  /// Returns requests to hold from now on. Each is returned once, until
+  /// `forget` is called for it.
   std::vector<crash_verdict> take_verdicts(monotonic_time now);
-  /// Requests that others should watch for a run that ends well. Each is told
-  /// once.
+  /// Returns requests whose successful runs gateways should report. Each is
+  /// returned once.
   std::vector<std::string> take_suspects();
-  /// Nothing counts against the request from now on: it was released.
+  /// Clears all crashes of a request, for one that was released from its hold.
   void forget(const std::string& fingerprint);
 
  private:
@@ -87,23 +92,23 @@
 
   struct request {
     std::set<crash_id> crashes;
-    /// When what is known is judged next, while it is a candidate.
+    /// Time of the next evaluation, while the request is a candidate.
     monotonic_time judged_at{};
     bool told_suspect = false;
     bool told_verdict = false;
   };
 
-  /// The crash that `report` tells of, which may be known.
+  /// Returns the crash that `report` belongs to, and adds it if it is new.
   crash_id find_or_add(const crash_report& report);
   void drop_oldest();
   bool has_alibi(const std::string& fingerprint, monotonic_time now) const;
   crash_verdict verdict_of(const std::string& fingerprint) const;
 
   crash_blame_limits limits_;
-  std::map<crash_id, crash> crashes_;  // the oldest first
+  std::map<crash_id, crash> crashes_;  // oldest first
   std::map<std::string, request> requests_;
   std::map<std::string, monotonic_time> ended_well_;
-  /// Requests with crashes that have not been judged yet.
+  /// Requests with crashes that have not been evaluated yet.
   std::set<std::string> candidates_;
   crash_id next_id_ = 1;
 };
--- a/routing/include/trestlepost/routing/endpoint_choice.h
+++ b/routing/include/trestlepost/routing/endpoint_choice.h
@@ -1,4 +1,5 @@
-// Which endpoint of a region serves a request now.
+// Chooses the endpoint of a region that serves a request, by prefix affinity
+// and load.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +14,21 @@
 namespace trestlepost::routing {
 
 struct endpoint_request {
-  /// Hash of the prompt's prefix; 0 when the service has no cache.
+  /// Hash of the prompt's prefix; 0 if the service has no prefix cache.
   std::uint64_t affinity = 0;
-  /// Endpoints that already failed this request.
+  /// Endpoints on which this request already failed.
   std::set<std::string> avoid;
-  /// Gateways of the region that share the endpoints' limits.
+  /// Number of gateways in the region that share the endpoints' limits.
   unsigned gateways = 1;
 };
 
-/// An endpoint with room, or nothing when all are at their limits.
+/// Returns an endpoint with a free slot, or nothing if all are at their limits.
+/// Endpoints in `avoid` are used only if no other one has a free slot.
 std::optional<membership::endpoint_view> choose_endpoint(
     const std::vector<membership::endpoint_view>& endpoints,
     const endpoint_request& request, random_source& random);
 
-/// Requests that the endpoints have room for, seen from this gateway.
+/// Returns the number of free slots that this gateway may use.
 unsigned free_slots(const std::vector<membership::endpoint_view>& endpoints,
                     unsigned gateways);
 
--- a/routing/include/trestlepost/routing/endpoint_warmth.h
+++ b/routing/include/trestlepost/routing/endpoint_warmth.h
@@ -1,5 +1,6 @@
-// What a gateway knows of which endpoints are cold, from the platform's list
-// and from endpoints' own answers, and of which it cannot know.
+// Tracks which endpoints are cold (still warming up), from the platform's list
+// and the endpoints' responses, and which ones may be cold because no current
+// list has arrived.
 #pragma once
 
 #include <chrono>
@@ -12,32 +13,36 @@
 
 namespace trestlepost::routing {
 
-/// Who told that an endpoint is cold.
+/// Where the information that an endpoint is cold comes from.
 enum class warmth_source { list, answer };
 
 class endpoint_warmth {
  public:
-  /// `source` says that `endpoint` stays cold for `left` from `now` on;
-  /// nothing when it says that it is warm.
+  /// Records that `source` reports `endpoint` as cold for another `left`. Does
+  /// nothing if `left` is not positive (the endpoint is warm).
   void told(const std::string& endpoint, std::chrono::milliseconds left,
             warmth_source source, monotonic_time now);
 
-  /// The change `revision` has given `zone` back. Its endpoints may have turned
-  /// cold before, and that change is here sooner than a list that says so.
-  /// Returns whether that is news.
+  /// Records that configuration change `revision` ended the evacuation of
+  /// `zone`. Its endpoints may have gone cold during the evacuation, and the
+  /// change arrives before a list that reports them as cold. Returns false if
+  /// this change was recorded before.
   bool given_back(const std::string& zone, config::revision_number revision,
                   monotonic_time now);
 
-  /// A list came that shows what the configuration did up to `revision`.
+  /// Records that a list arrived which reflects the configuration up to
+  /// `revision`.
   void list_covers(config::revision_number revision);
 
-  /// Whether `endpoint` is cold, or may be for all that is known: its zone was
-  /// given back less than `warmup` ago, and no list has told since. `warmup` is
-  /// how long an endpoint stays cold at most.
+  /// Returns whether `endpoint` is cold or may be cold. It may be cold if the
+  /// evacuation of its zone ended less than `warmup` ago and no list has
+  /// covered that change yet. `warmup` is the longest time that an endpoint
+  /// stays cold.
   bool may_be_cold(const std::string& endpoint, const std::string& zone,
                    std::chrono::milliseconds warmup, monotonic_time now) const;
 
-  /// Forgets endpoints that are warm at `now`, or gone.
+  /// Removes endpoints that are warm at `now` or for which `exists` returns
+  /// false.
   void keep(const std::function<bool(const std::string&)>& exists,
             monotonic_time now);
 
--- a/routing/include/trestlepost/routing/engine_choice.h
+++ b/routing/include/trestlepost/routing/engine_choice.h
@@ -1,5 +1,5 @@
-// Which model endpoint of a region serves a request: weighs what the request
-// can be expected to earn against prompt parts that would be read again.
+// Chooses the model endpoint of a region that serves a request, by weighing its
+// expected value there against prefilling cached prompt sections again.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +10,24 @@
 
 namespace trestlepost::routing {
 
-/// Reading a whole prompt again costs so much of a request's value: the users
-/// price it at about 0.4 of a long request's value, and it takes the engine's
-/// time from those that wait.
+/// Cost of prefilling a whole prompt again, as a share of the request's value.
+/// Users price it at about 0.4 of the value of a long request, and it delays
+/// the requests that wait at the engine.
 inline constexpr double read_again_cost = 0.45;
 
-/// One endpoint, as it is compared with the others.
+/// An endpoint that a request could be sent to.
 struct engine_candidate {
   outlook expected;
-  /// Tokens of shared prompt parts that it would read, though another
-  /// endpoint has read them, as a share of the whole prompt.
+  /// Shared tokens that it would prefill although another endpoint has them
+  /// cached, as a share of the prompt.
   double read_again = 0;
-  /// Tokens that are copied from another endpoint's cache, likewise.
+  /// Tokens copied from another endpoint's cache, as a share of the prompt.
   double copied = 0;
-  /// That it takes the request.
+  /// Probability that the endpoint accepts the request.
   double chance = 1;
 };
 
-/// The best of `all`, or nothing when there are none.
+/// Returns the index of the best candidate, or nothing if `all` is empty.
 std::optional<std::size_t> choose_engine(
     const std::vector<engine_candidate>& all, const expectation& wanted);
 
--- a/routing/include/trestlepost/routing/fair_queue.h
+++ b/routing/include/trestlepost/routing/fair_queue.h
@@ -1,5 +1,5 @@
-// A bounded queue in which callers share a service by weight. Within one
-// caller, higher priority goes first, then the earlier deadline.
+// A bounded queue with weighted fair sharing between callers. Requests of one
+// caller are ordered by priority, then by deadline.
 #pragma once
 
 #include <chrono>
@@ -14,7 +14,7 @@
 
 namespace trestlepost::routing {
 
-/// One waiting request.
+/// A queued request.
 struct waiter {
   std::uint64_t id = 0;
   std::string caller;
@@ -27,17 +27,19 @@
  public:
   explicit fair_queue(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Adds a waiter. When the queue is full, the waiter pushed out is one of
-  /// the caller with the most waiting for its share; it may be the new one.
+  /// Adds a request. If the queue is full, removes and returns the last request
+  /// of the caller with the most requests relative to its share; this may be
+  /// the new one.
   std::optional<std::uint64_t> push(const waiter& added);
 
-  /// The next one to run, or nothing.
+  /// Removes and returns the next request to run, or nothing if the queue is
+  /// empty.
   std::optional<std::uint64_t> pop();
 
-  /// Takes out those whose deadline has passed.
+  /// Removes and returns the requests whose deadline has passed.
   std::vector<std::uint64_t> take_expired(monotonic_time now);
 
-  /// Takes out one that gave up.
+  /// Removes a request, for example when its caller disconnected.
   void remove(std::uint64_t id);
 
   std::size_t size() const { return by_id_.size(); }
@@ -53,7 +55,7 @@
   struct caller_queue {
     std::set<order> waiting;
     unsigned share = 1;
-    double virtual_time = 0;  // served requests by share
+    double virtual_time = 0;  // served requests divided by share
   };
   struct location {
     std::string caller;
--- a/routing/include/trestlepost/routing/latency_model.h
+++ b/routing/include/trestlepost/routing/latency_model.h
@@ -1,15 +1,16 @@
-// Learns how a latency grows with the work before it: a straight line through
-// recent observations, old ones fading.
+// Predicts a latency as a linear function of the amount of work, fitted to
+// recent observations whose weight decays.
 #pragma once
 
 namespace trestlepost::routing {
 
-/// What is assumed before anything was observed.
+/// Assumptions that apply until there are observations.
 struct latency_prior {
-  double base_ms = 40;           // at no work
-  double ms_per_unit = 0.01;     // for each unit of work
-  double spread_units = 10'000;  // work at which the slope is assumed to hold
-  double weight = 5;             // in observations
+  double base_ms = 40;        // latency without work
+  double ms_per_unit = 0.01;  // slope
+  // amount of work up to which the slope is assumed to hold
+  double spread_units = 10'000;
+  double weight = 5;  // as a number of observations
 };
 
 class latency_model {
--- a/routing/include/trestlepost/routing/outlook.h
+++ b/routing/include/trestlepost/routing/outlook.h
@@ -1,57 +1,59 @@
-// What a request may expect of a place that could serve it, and what that is
-// worth: the basis on which endpoints and regions are compared.
+// Estimates how a request proceeds at an endpoint or in a region, and the value
+// of that outcome. Endpoints and regions are compared by this value.
 #pragma once
 
 #include <chrono>
 
 namespace trestlepost::routing {
 
-/// Expected course of a request at one place.
+/// Expected course of a request at an endpoint or in a region.
 struct outlook {
-  /// Until the work that is there already lets it begin.
+  /// Time until the work already there lets the request start.
   std::chrono::milliseconds wait{0};
-  /// Until its first token, its own prompt read.
+  /// Time until its first token, including the prefill of its own prompt.
   std::chrono::milliseconds first_token{0};
-  /// Until it is whole.
+  /// Time until the response is complete.
   std::chrono::milliseconds finish{0};
-  /// By how much its prompt puts off the answers that are written there, all
-  /// added up: an engine reads prompts between their tokens.
+  /// Total delay that its prefill causes for responses being decoded there: an
+  /// engine runs prefills between decode steps.
   std::chrono::milliseconds slows_others{0};
 };
 
-/// The same course, begun later by `wait`.
+/// Returns the same estimate, starting later by `wait`.
 outlook delayed(outlook at, std::chrono::milliseconds wait);
 
-/// How long a request waits for one of `slots` when `load` requests run or
-/// wait before it and each holds a slot for `hold`.
+/// Returns the time until a slot is free, if `load` requests run or wait before
+/// this one on `slots` slots and each occupies a slot for `hold`.
 std::chrono::milliseconds slot_wait(double load, unsigned slots,
                                     std::chrono::milliseconds hold);
 
-/// What the caller and the route ask for.
+/// Latency that the caller and the route require.
 struct expectation {
   std::chrono::milliseconds latency_objective{0};
-  /// Time left until nobody waits any more.
+  /// Time until the caller's deadline.
   std::chrono::milliseconds remaining{0};
 };
 
-/// What a request that is worth `value` where it is taken is worth where it is
-/// taken by `chance` only; no better than `value` when that is below 0.
+/// Returns the value of a request that is worth `value` if accepted, given the
+/// probability `chance` that it is accepted. Negative values are returned
+/// unchanged, so that a low chance does not improve them.
 double chance_value(double value, double chance);
 
-/// The share of a request's full value that it can be expected to earn, from
-/// 0 to 1: the chance to be on time, and the chance to be whole in time.
+/// Returns the expected share of a request's full value, from 0 to 1. It
+/// combines the probability that the first token meets the latency objective
+/// with the probability that the response completes before the deadline.
 double expected_value(const outlook& at, const expectation& wanted);
 
-/// `expected_value` less what the time until the answer is whole costs, by
-/// breaks and deadlines, and less that cost for the answers that it puts off.
-/// Long answers so go where they are written fast, and prompts where few
-/// answers are written.
+/// Returns `expected_value` minus two costs: the time until the response is
+/// complete, during which streams break or miss their deadline, and the delay
+/// caused to other responses. Long responses are thereby sent to endpoints that
+/// decode fast, and long prompts to endpoints that decode few responses.
 double net_value(const outlook& at, const expectation& wanted);
 
-/// The share of requests that leave a region where they are worth `home` for
-/// one where they are worth `away`. It grows with the gain instead of jumping:
-/// all gateways of a region act on the same news of the other one, which are
-/// some 300 ms old.
+/// Returns the share of requests to send away from a region where they are
+/// worth `home` to one where they are worth `away`. The share grows with the
+/// gain instead of switching at a threshold, because all gateways of a region
+/// act on the same data about the other region, which is about 300 ms old.
 double spill_share(double home, double away);
 
 }  // namespace trestlepost::routing
--- a/routing/include/trestlepost/routing/paid_sends.h
+++ b/routing/include/trestlepost/routing/paid_sends.h
@@ -1,25 +1,26 @@
-// How often one request has been sent to endpoints, and that each time after
-// the first was paid for.
+// Counts how often a request has been sent to endpoints and charges each send
+// after the first to a retry budget.
 #pragma once
 
 #include "trestlepost/routing/retry_budget.h"
 
 namespace trestlepost::routing {
 
-/// Each send asks here before it is made, whatever its reason and wherever it
-/// goes: endpoints bear arrivals, not reasons. What an endpoint rejected costs
-/// the next one as much as what may have run.
+/// Must be consulted before each send of a request, whatever the reason and the
+/// target: endpoints are loaded by every arrival. A send after a rejection
+/// costs as much as one after a run that may have started.
 class paid_sends {
  public:
-  /// The next send is free: it is the first, or the gateway that sent the
-  /// request on has paid for it. `before`: endpoints that it has reached.
+  /// The next send is free: it is the first one, or the gateway that forwarded
+  /// the request has already paid for it. `before` is the number of endpoints
+  /// that the request has reached so far.
   explicit paid_sends(unsigned before = 0) : count_(before) {}
 
-  /// Endpoints that the request has reached.
+  /// Number of endpoints that the request has reached.
   unsigned count() const { return count_; }
 
-  /// Whether the next send may be made; takes it out of `budget` if it is not
-  /// paid for yet.
+  /// Returns whether the next send may be made. Takes it from `budget` unless
+  /// it is already paid for.
   bool cover_next(retry_budget& budget) {
     if (covered_) return true;
     if (!budget.take()) return false;
@@ -28,8 +29,8 @@
     return true;
   }
 
-  /// The request was sent and reached `n` endpoints; the gateway that reached
-  /// more than one has paid for all but the first.
+  /// Records a send that reached `n` endpoints. If `n` is above 1, the gateway
+  /// that received the forwarded request has paid for all but the first.
   void sent(unsigned n) {
     if (n == 0) return;
     count_ += n;
@@ -37,7 +38,7 @@
     taken_ = false;
   }
 
-  /// No send follows: puts back into `budget` what was not used of it.
+  /// Puts an unused charge back into `budget`; call it when no send follows.
   void end(retry_budget& budget) {
     if (taken_) budget.give_back();
     taken_ = false;
@@ -45,8 +46,8 @@
 
  private:
   unsigned count_ = 0;
-  bool covered_ = true;  // the next send
-  bool taken_ = false;   // out of the budget given here
+  bool covered_ = true;  // the next send is paid for
+  bool taken_ = false;   // from the budget of this gateway
 };
 
 }  // namespace trestlepost::routing
--- a/routing/include/trestlepost/routing/placement.h
+++ b/routing/include/trestlepost/routing/placement.h
@@ -1,4 +1,4 @@
-// Which regions may serve a request: from configuration alone.
+// Determines which regions may serve a request, from the configuration alone.
 #pragma once
 
 #include <chrono>
@@ -9,7 +9,7 @@
 
 namespace trestlepost::routing {
 
-/// The objects that decide a placement.
+/// The configuration objects that determine a placement.
 struct placement_inputs {
   const config::object_map<config::region>& regions;
   const config::object_map<config::placement_rule>& rules;
@@ -17,7 +17,7 @@
 
 placement_inputs inputs_of(const config::object_store& store);
 
-/// What one rule said, for `explain`.
+/// The result of one rule, for `explain`.
 struct rule_trace {
   std::string rule;
   bool matched = false;
@@ -26,7 +26,7 @@
 };
 
 struct placement {
-  std::vector<std::string> permitted;  // in order of name
+  std::vector<std::string> permitted;  // sorted by name
   std::string home;                    // one of `permitted`
   std::chrono::milliseconds away_penalty{0};
   config::transit_policy transit = config::transit_policy::allow;
@@ -35,23 +35,23 @@
   bool permits(const std::string& region) const;
 };
 
-/// The placement of a request. No matching rule, no common region, or a label
-/// that the caller may not set or that would widen the regions is an error:
-/// the request is then not run.
+/// Computes the placement of a request. Fails if no rule matches, if the
+/// matching rules have no region in common, or if a label is not allowed for
+/// the caller or would permit more regions. The request must then not be run.
 result<placement> place(const placement_inputs& inputs,
                         const config::caller& caller,
                         const config::service& service,
                         const config::label_map& request_labels);
 
-/// What is known before the service is: the body that names it is not read.
-/// True when some rule that could match refuses transit through `region`.
+/// Returns whether some rule that could match refuses transit through `region`.
+/// Used before the body is read, when the service is not known yet.
 bool transit_may_be_refused(const placement_inputs& inputs,
                             const config::caller& caller,
                             const config::label_map& request_labels,
                             const std::string& region);
 
-/// The regions that were the request's home earlier within the longest key
-/// window, other than its present one.
+/// Returns the regions, other than the present home, that were the home of the
+/// request within the longest key window.
 std::vector<std::string> former_homes(const config::object_store& store,
                                       const config::caller& caller,
                                       const config::service& service,
--- a/routing/include/trestlepost/routing/region_choice.h
+++ b/routing/include/trestlepost/routing/region_choice.h
@@ -1,4 +1,4 @@
-// Which of the permitted regions serves a request now.
+// Ranks the permitted regions for a request by wait time and distance.
 #pragma once
 
 #include <chrono>
@@ -9,31 +9,33 @@
 
 namespace trestlepost::routing {
 
-/// What one gateway knows of a region for one service.
+/// State of a region for one service, as known to one gateway.
 struct region_view {
   std::string region;
-  bool reachable = false;      // some gateway of it takes forwarded requests
-  bool has_endpoints = false;  // some endpoint of the service is usable
-  std::chrono::milliseconds wait{0};        // in the queue there
-  std::chrono::milliseconds round_trip{0};  // to its gateways
+  bool reachable = false;      // a gateway there accepts forwarded requests
+  bool has_endpoints = false;  // an endpoint of the service is usable
+  std::chrono::milliseconds wait{0};        // in the queue of the region
+  std::chrono::milliseconds round_trip{0};  // to the gateways of the region
 };
 
-/// Names of the policies that are compared; `weighed` is the product's.
+/// Policies for ranking regions. `weighed` is the default; the others serve as
+/// baselines for comparison.
 enum class policy { weighed, home_only, round_robin, least_load };
 
 struct region_choice_options {
   policy kind = policy::weighed;
-  /// Extra time of a request away from its caches.
+  /// Extra time of a request outside its home region, without its caches.
   std::chrono::milliseconds cold_cost{150};
 };
 
 struct region_request {
   std::string own_region;
-  /// False: only the own region may serve (an isolated node).
+  /// False: only the own region may serve it (isolated node).
   bool may_cross = true;
-  /// True: only the home region may serve (its ledger holds the record).
+  /// True: only the home region may serve it, since its ledger holds the
+  /// record.
   bool bound_to_home = false;
-  /// Counts the requests of this gateway, for round robin.
+  /// Request counter of this gateway, for round robin.
   std::uint64_t sequence = 0;
 };
 
@@ -44,8 +46,8 @@
   std::string reason;
 };
 
-/// All permitted regions, the best one first; those that can't serve come
-/// last with the reason.
+/// Returns all permitted regions, best first. Regions that can't serve the
+/// request come last, with the reason.
 std::vector<region_candidate> rank_regions(
     const placement& placed, const std::vector<region_view>& views,
     const region_request& request, const region_choice_options& options);
--- a/routing/include/trestlepost/routing/retry_budget.h
+++ b/routing/include/trestlepost/routing/retry_budget.h
@@ -1,4 +1,5 @@
-// Retries are paid for by requests: a total outage must not multiply load.
+// Limits retries to a share of the requests, so that an outage does not
+// multiply load.
 #pragma once
 
 #include <algorithm>
@@ -6,24 +7,25 @@
 
 namespace trestlepost::routing {
 
-/// What all gateways of a deployment may use together.
+/// Retry limits for all gateways of a deployment together.
 struct shared_retry_limits {
-  double ratio = 0.2;  // of the requests
-  double slack = 70;   // besides
+  double ratio = 0.2;  // retries per request
+  double slack = 70;   // retries in addition
 };
 
 struct retry_budget_options {
-  /// Retries allowed for each request.
+  /// Retries allowed per request.
   double share = 0.1;
-  /// Retries that may be saved up.
+  /// Maximum number of unused retries that are saved.
   double most_saved = 10;
 };
 
-/// The part of one of `gateways` gateways, which do not ask each other. A
-/// request earns at the gateway of its caller only, so most of the ratio can be
-/// used whatever a gateway knows of the others; the rest covers requests that
-/// are read a little later than they were sent. Of what is saved up a third is
-/// used: three regions that are cut from each other may each forget the rest.
+/// Returns the limits of one of `gateways` gateways, which do not coordinate.
+/// Only the gateway that receives a request from its caller earns budget for
+/// it, so most of the ratio can be used regardless of how many other gateways
+/// are known. The rest allows for requests that are read slightly later than
+/// they were sent. One third of the slack is used, because each of three
+/// partitioned regions may count only its own gateways.
 inline retry_budget_options share_of(const shared_retry_limits& limits,
                                      std::size_t gateways) {
   constexpr double used_of_ratio = 0.9;
@@ -32,19 +34,20 @@
                       static_cast<double>(std::max<std::size_t>(1, gateways));
   retry_budget_options out;
   out.share = limits.ratio * used_of_ratio;
-  // With less than one saved a gateway could never retry.
+  // Below 1 a gateway could never retry.
   out.most_saved = std::max(1.0, part);
   return out;
 }
 
-/// Starts with nothing saved: a process that starts again and again, or that
-/// knows no other gateway yet, has no more than its requests have paid for.
+/// Retry budget of one gateway. Starts empty, so that a process that restarts
+/// repeatedly, or does not know the other gateways yet, can use only what its
+/// requests have earned.
 class retry_budget {
  public:
   explicit retry_budget(retry_budget_options options = {})
       : options_(options) {}
 
-  /// Limits for what follows; what is saved above them is lost.
+  /// Sets new limits. Saved retries above the new maximum are dropped.
   void set_options(retry_budget_options options) {
     options_ = options;
     saved_ = std::min(saved_, options_.most_saved);
@@ -52,14 +55,14 @@
 
   void request_seen() { save(options_.share); }
 
-  /// Takes one retry out of the budget; false when none is left.
+  /// Takes one retry from the budget; returns false if none is left.
   bool take() {
     if (saved_ < 1) return false;
     saved_ -= 1;
     return true;
   }
 
-  /// Puts back one that was taken and not used.
+  /// Returns a retry that was taken but not used.
   void give_back() { save(1); }
 
  private:
--- a/routing/include/trestlepost/routing/route_table.h
+++ b/routing/include/trestlepost/routing/route_table.h
@@ -1,4 +1,4 @@
-// Finds the route of a request: by host, then by the longest path prefix.
+// Finds the route of a request by its host, then by the longest path prefix.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
 class route_table {
  public:
   route_table() = default;
-  /// The table shares the plan's life.
+  /// The table shares ownership of the plan.
   explicit route_table(config::plan_ptr plan);
 
-  /// The route of `path` at `host`, or null. A port in `host` counts for
-  /// nothing, and neither does its case.
+  /// Returns the route for `path` at `host`, or null. Port and case of `host`
+  /// are ignored.
   const config::route* find(std::string_view host, std::string_view path) const;
 
   const config::plan_ptr& plan() const { return plan_; }
@@ -32,7 +32,7 @@
   std::map<std::string, prefix_map, std::less<>> hosts_;
 };
 
-/// The service that a request of `route` goes to, by weight.
+/// Chooses the service for a request of `route` at random, by weight.
 const std::string& choose_service(const config::route& route,
                                   random_source& random);
 
--- a/routing/src/acceptance.cc
+++ b/routing/src/acceptance.cc
@@ -1,3 +1,4 @@
+// Acceptance probability from exponentially decayed counts of outcomes.
 #include "trestlepost/routing/acceptance.h"
 
 #include <chrono>
@@ -6,10 +7,12 @@
 namespace trestlepost::routing {
 namespace {
 
-// After this time an outcome counts for 1/e: some outages last no longer, and a
-// gateway of a large deployment sends an endpoint less than a request a second.
+// Time after which an outcome counts for 1/e. Some outages last no longer than
+// this, and a gateway of a large deployment sends less than one request per
+// second to each endpoint.
 constexpr std::chrono::duration<double> memory{3.0};
-// Before anything is known a place counts as one request that was taken.
+// Initial weight: a place without outcomes counts as having accepted one
+// request.
 constexpr double trust = 1;
 
 }  // namespace
@@ -29,7 +32,8 @@
 }
 
 void acceptance::taken(const std::string& place, monotonic_time now) {
-  // Most endpoints take all: nothing is kept of those.
+  // Most endpoints accept every request; only those with a rejection are
+  // stored.
   if (!places_.contains(place)) return;
   at(place, now).taken += 1;
 }
--- a/routing/src/cold_limiter.cc
+++ b/routing/src/cold_limiter.cc
@@ -1,3 +1,4 @@
+// Rate limit for requests to cold endpoints.
 #include "trestlepost/routing/cold_limiter.h"
 
 namespace trestlepost::routing {
--- a/routing/src/crash_blame.cc
+++ b/routing/src/crash_blame.cc
@@ -1,3 +1,4 @@
+// Attributes endpoint crashes to requests and proposes requests to hold.
 #include "trestlepost/routing/crash_blame.h"
 
 #include <algorithm>
@@ -7,10 +8,10 @@
 
 using std::chrono::milliseconds;
 
-// Reports of crashes of one endpoint that lie so close tell of the same one:
-// an endpoint takes longer to start again, and reports are late by less.
+// Crashes of one endpoint that are reported within this time are the same
+// crash: a restart takes longer, and reports are delayed by less.
 constexpr milliseconds same_crash{1000};
-// Good ends are remembered for so many requests.
+// Maximum number of requests whose last success is kept.
 constexpr std::size_t most_alibis = 10'000;
 
 }  // namespace
@@ -55,8 +56,8 @@
   const bool enough =
       it.crashes.size() >= limits_.crashes_to_suspect && !it.told_verdict;
   if (!enough) return;
-  // Later reports don't put it off, or a request that crashes an endpoint in
-  // each moment would never be judged.
+  // Later reports do not postpone the evaluation; otherwise a request that
+  // crashes endpoints continuously would never be evaluated.
   const bool first = candidates_.insert(report.fingerprint).second;
   if (first) it.judged_at = now + limits_.settle_time;
 }
@@ -129,7 +130,7 @@
       known.told_verdict = true;
       out.push_back(verdict_of(*it));
     }
-    // The next report of a crash under it makes it one again.
+    // The next crash report for the request adds it again.
     it = candidates_.erase(it);
   }
   return out;
--- a/routing/src/endpoint_choice.cc
+++ b/routing/src/endpoint_choice.cc
@@ -1,3 +1,5 @@
+// Endpoint choice by rendezvous hashing with bounded loads for requests with a
+// prefix affinity, and by the better of two random choices for others.
 #include "trestlepost/routing/endpoint_choice.h"
 
 #include <algorithm>
@@ -10,13 +12,13 @@
 
 using membership::endpoint_view;
 
-// An endpoint may carry this much more than the mean before affinity gives
-// way.
+// An endpoint may exceed the mean relative load by this factor before prefix
+// affinity is ignored.
 constexpr double bounded_load_factor = 1.25;
 
-/// Room for one more: the region's gateways together stay under the limit,
-/// and each may always use its even share, so that a late report of the
-/// others starves nobody.
+/// Returns whether the endpoint can accept one more request. The gateways of a
+/// region together stay below its limit, but each may always use an even share
+/// of it, so that delayed load reports do not starve a gateway.
 bool has_room(const endpoint_view& it, unsigned gateways) {
   const double even_share = std::floor(it.limit / std::max(1U, gateways));
   return it.load + 1 <= it.limit || it.own_in_flight + 1 <= even_share;
--- a/routing/src/endpoint_warmth.cc
+++ b/routing/src/endpoint_warmth.cc
@@ -1,3 +1,4 @@
+// Tracks cold endpoints by list, response and ended zone evacuations.
 #include "trestlepost/routing/endpoint_warmth.h"
 
 #include <algorithm>
--- a/routing/src/engine_book.cc
+++ b/routing/src/engine_book.cc
@@ -1,3 +1,4 @@
+// Model of the caches, pending prompts and speeds of model endpoints.
 #include "trestlepost/routing/engine_book.h"
 
 #include <algorithm>
@@ -8,20 +9,24 @@
 
 using std::chrono::milliseconds;
 
-// Priorities that engines know; above the last one all count as the last.
+// Number of priority levels of engines; lower priorities count as the last
+// level.
 constexpr int most_priorities = 10;
-// Share of an engine's memory that caches may use; the rest holds what runs.
+// Share of an engine's KV memory that caches may use; the rest holds running
+// requests.
 constexpr double cache_share = 0.6;
-// Weight of one observation in an endpoint's slowness and event interval.
+// Weight of a new observation in an endpoint's slowness and event interval.
 constexpr double newest_weight = 0.05;
-// An endpoint's slowness stays between these.
+// Bounds of an endpoint's slowness.
 constexpr double fastest = 0.3;
 constexpr double slowest = 6;
-// Beginnings shorter than this are not told: reading them lasts a moment.
+// Minimum size of announced prefixes in tokens. Shorter ones are fast to
+// prefill.
 constexpr std::uint32_t least_announced = 1024;
-// Told with each heartbeat for so long, so that a lost one loses nothing.
+// Time for which a prefix is sent with each heartbeat, so that a lost heartbeat
+// loses no prefix.
 constexpr milliseconds announced_for{450};
-// Until answers were observed.
+// Defaults until responses have been observed.
 constexpr double first_event_ms = 80;
 constexpr double first_hold_ms = 1000;
 
@@ -29,7 +34,7 @@
   return static_cast<std::size_t>(std::clamp(priority, 0, most_priorities - 1));
 }
 
-/// Tokens that are read before a new request of this priority.
+/// Returns the tokens that are prefilled before a new request of `priority`.
 std::uint32_t tokens_before(const pending_tokens& pending, int priority) {
   std::uint32_t out = 0;
   const std::size_t end = std::min(pending.size(), slot_of(priority) + 1);
@@ -79,13 +84,13 @@
   const record* it = find(id);
   std::uint32_t cached = 0;
   for (const prompt_section& section : work.sections) {
-    // A section counts only when all before it are cached too.
+    // A section is cached only if all sections before it are cached too.
     if (it == nullptr || !it->cached.contains(section.id)) break;
     cached += section.tokens;
   }
   const std::uint32_t total =
       work.prompt_tokens - std::min(cached, work.prompt_tokens);
-  // The last section is the request's own: nobody has read it yet.
+  // The last section is specific to the request, so no endpoint has it cached.
   const std::uint32_t last =
       work.sections.empty() ? total : work.sections.back().tokens;
   out.own = std::min(total, last);
--- a/routing/src/engine_choice.cc
+++ b/routing/src/engine_choice.cc
@@ -1,12 +1,14 @@
+// Scores model endpoints by value, repeated prefill, cache copies and wait.
 #include "trestlepost/routing/engine_choice.h"
 
 namespace trestlepost::routing {
 namespace {
 
-// Copying a whole prompt's cache from another endpoint: the users price it at
-// about a fifth of reading.
+// Cost of copying a whole prompt's cache from another endpoint, about a fifth
+// of the cost of prefilling it.
 constexpr double copy_cost = 0.09;
-// Among equals the sooner one: a wait as long as the objective costs this.
+// Cost of a wait as long as the latency objective. Prefers the earlier one of
+// otherwise equal candidates.
 constexpr double wait_cost = 0.15;
 
 double score_of(const engine_candidate& it, const expectation& wanted) {
--- a/routing/src/fair_queue.cc
+++ b/routing/src/fair_queue.cc
@@ -1,3 +1,5 @@
+// Fair queueing by virtual time: the caller with the lowest virtual time is
+// served next.
 #include "trestlepost/routing/fair_queue.h"
 
 #include <algorithm>
@@ -12,7 +14,8 @@
 
 std::optional<std::uint64_t> fair_queue::push(const waiter& added) {
   caller_queue& queue = callers_[added.caller];
-  // A caller that was idle starts at the present: it saves up no claim.
+  // A caller that was idle starts at the current virtual time, so that it gains
+  // no credit while idle.
   if (queue.waiting.empty()) {
     queue.virtual_time = std::max(queue.virtual_time, virtual_now_);
   }
@@ -60,7 +63,7 @@
     }
   }
   if (best == nullptr) {
-    // Nobody waits, so nobody is owed anything.
+    // The queue is empty, so virtual times need not be kept.
     callers_.clear();
     return std::nullopt;
   }
--- a/routing/src/former_homes.cc
+++ b/routing/src/former_homes.cc
@@ -1,3 +1,5 @@
+// Finds earlier home regions of a request by reverting configuration changes
+// one by one.
 #include <algorithm>
 #include <memory>
 #include <optional>
@@ -7,7 +9,7 @@
 namespace trestlepost::routing {
 namespace {
 
-/// The objects of one request as they were at an earlier time.
+/// The configuration objects that concern a request, as of an earlier time.
 class earlier_objects {
  public:
   earlier_objects(const config::object_store& store,
@@ -17,7 +19,7 @@
         caller_(caller),
         service_(service) {}
 
-  /// Undoes one replacement; false when it does not concern the request.
+  /// Reverts one replacement; returns false if it does not concern the request.
   bool undo(const config::former_spec& it) {
     const bool existed = !it.text.empty();
     const json spec = it.spec();
--- a/routing/src/latency_model.cc
+++ b/routing/src/latency_model.cc
@@ -1,3 +1,4 @@
+// Weighted linear regression of latency over work.
 #include "trestlepost/routing/latency_model.h"
 
 #include <algorithm>
@@ -5,10 +6,11 @@
 namespace trestlepost::routing {
 namespace {
 
-// What an observation counts for after each later one: some 50 count.
+// Factor by which each new observation reduces the weight of earlier ones;
+// about 50 observations are effective.
 constexpr double fading = 0.98;
-// The slope stays within this factor of what was assumed: a run of odd
-// observations must not make work look free or impossible.
+// The slope stays within this factor of the prior, so that a series of outliers
+// can't make work appear free or impossible.
 constexpr double most_off = 10;
 
 }  // namespace
@@ -36,7 +38,7 @@
 
 void latency_model::fit() {
   const double variance = n_ * xx_ - x_ * x_;
-  // Observations at one amount of work say nothing of the slope.
+  // Observations at a single amount of work do not determine the slope.
   const double least = 1e-6 * n_ * xx_;
   if (variance > least) {
     slope_ = std::clamp((n_ * xy_ - x_ * y_) / variance,
--- a/routing/src/outlook.cc
+++ b/routing/src/outlook.cc
@@ -1,3 +1,4 @@
+// Value of a request by its estimated course.
 #include "trestlepost/routing/outlook.h"
 
 #include <algorithm>
@@ -6,27 +7,30 @@
 namespace trestlepost::routing {
 namespace {
 
-// Predictions err; these bands say how sure a share of the limit still is.
+// Predictions are inexact, so a limit is not a sharp threshold. The probability
+// of meeting it falls linearly from 1 to 0 between these ratios of predicted
+// time to limit.
 constexpr double surely_on_time = 0.7;
 constexpr double surely_late = 1.2;
 constexpr double surely_whole = 0.7;
 constexpr double surely_cut = 1.3;
-// What a late answer is worth, as a share of one on time.
+// Value of a late response, as a share of the value of one on time.
 constexpr double late_value = 0.3;
 
-// What each second of an answer's writing costs, as a share of its value: some
-// answers break in it or pass their deadline, and an engine that writes many
-// reads the next prompts later.
+// Cost of each second until the response is complete, as a share of its value:
+// some streams break or miss their deadline, and an engine that decodes many
+// responses prefills the next prompts later.
 constexpr double cost_per_second = 0.04;
 
-// From this gain on, in shares of a request's value, all requests leave.
+// Gain at which all requests are sent away, as a share of a request's value.
 constexpr double gain_for_all = 0.2;
 
 double seconds(std::chrono::milliseconds span) {
   return std::chrono::duration<double>(span).count();
 }
 
-/// 1 up to `good` shares of `limit`, 0 from `bad` shares on.
+/// Returns 1 up to `good` times `limit` and 0 from `bad` times `limit` on, and
+/// interpolates linearly between them.
 double chance(std::chrono::milliseconds at, std::chrono::milliseconds limit,
               double good, double bad) {
   if (limit.count() <= 0) return 1;
@@ -47,7 +51,7 @@
 std::chrono::milliseconds slot_wait(double load, unsigned slots,
                                     std::chrono::milliseconds hold) {
   const double most = std::max(1U, slots);
-  // Slots that must come free before one is this request's.
+  // Slots that must become free before this request gets one.
   const double ahead = load + 1 - most;
   if (ahead <= 0) return std::chrono::milliseconds(0);
   const double ms = ahead / most * static_cast<double>(hold.count());
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -1,3 +1,4 @@
+// Applies the placement rules to a request and picks its home region.
 #include "trestlepost/routing/placement.h"
 
 #include <algorithm>
@@ -46,7 +47,7 @@
   return out;
 }
 
-/// Applies every rule that matches; `permitted` may come out empty.
+/// The result of applying all matching rules; `permitted` may be empty.
 struct applied_rules {
   placement outcome;
   bool any_matched = false;
@@ -110,7 +111,7 @@
     return fail(
         error_kind::label_not_allowed,
         "caller " + caller.name + " may not set the label " + key + "=" + value,
-        "leave the label out, or ask an operator to add it to the "
+        "omit the label, or ask an operator to add it to the "
         "caller's request_labels");
   }
   return {};
@@ -137,25 +138,26 @@
     return fail(error_kind::no_matching_rule,
                 "no placement rule matches caller " + caller.name +
                     " and service " + service.name,
-                "write a placement_rule whose callers, services and requests "
+                "add a placement_rule whose callers, services and requests "
                 "select this request");
   }
   if (!request_labels.empty()) {
-    // Labels may only narrow: without them the same regions must be open.
+    // Labels may only narrow a placement: the same regions must be permitted
+    // without them.
     const applied_rules bare = apply_rules(inputs, caller, service, {});
     const std::vector<std::string> common =
         intersection(applied.outcome.permitted, bare.outcome.permitted);
     if (common != applied.outcome.permitted) {
       return fail(error_kind::label_not_allowed,
-                  "the request's labels would widen where it may be served",
-                  "leave the labels out; an operator may permit more regions "
-                  "by a rule for the caller");
+                  "the request's labels would permit additional regions",
+                  "omit the labels, or ask an operator to permit more "
+                  "regions by a rule for the caller");
     }
   }
   if (applied.outcome.permitted.empty()) {
     return fail(error_kind::not_permitted,
-                "the rules that match have no region in common",
-                "run `trestlepost explain` and mend the rules that it lists");
+                "the matching rules have no region in common",
+                "run `trestlepost explain` and fix the rules that it lists");
   }
   applied.outcome.home = home_of(inputs, applied.outcome, caller, service);
   return std::move(applied.outcome);
--- a/routing/src/region_choice.cc
+++ b/routing/src/region_choice.cc
@@ -1,3 +1,4 @@
+// Ranks regions by cost: queue wait, round trip and penalties away from home.
 #include "trestlepost/routing/region_choice.h"
 
 #include <algorithm>
@@ -16,15 +17,16 @@
   return nullptr;
 }
 
-/// Why a region can't serve, or empty.
+/// Returns why a region can't serve the request, or an empty string.
 std::string obstacle(const std::string& region, const placement& placed,
                      const region_view* view, const region_request& request,
                      policy kind) {
   const bool own = region == request.own_region;
   if (!own && !request.may_cross) return "this node is isolated";
   const bool home_only = request.bound_to_home || kind == policy::home_only;
-  if (home_only && region != placed.home) return "only the home may serve";
-  if (view == nullptr) return "nothing is known of it";
+  if (home_only && region != placed.home)
+    return "only the home region may serve it";
+  if (view == nullptr) return "its state is unknown";
   if (!own && !view->reachable) return "none of its gateways is reachable";
   if (!view->has_endpoints) return "no usable endpoint of the service";
   return {};
--- a/routing/src/route_table.cc
+++ b/routing/src/route_table.cc
@@ -1,3 +1,4 @@
+// Route lookup by host and path prefix, and weighted choice of a service.
 #include "trestlepost/routing/route_table.h"
 
 #include <algorithm>
@@ -15,7 +16,7 @@
   return out;
 }
 
-/// The next shorter prefix that ends with a slash; empty when there is none.
+/// Returns the next shorter prefix that ends with a slash, or an empty string.
 std::string_view shorter_prefix(std::string_view prefix) {
   if (prefix.size() < 2) return {};
   const std::size_t slash = prefix.rfind('/', prefix.size() - 2);
--- a/routing/test/acceptance-test.cc
+++ b/routing/test/acceptance-test.cc
@@ -1,3 +1,5 @@
+// Acceptance probabilities, and their effect on the choice between endpoints of
+// which some reject every request.
 #include "trestlepost/routing/acceptance.h"
 
 #include <gtest/gtest.h>
@@ -40,15 +42,16 @@
   EXPECT_DOUBLE_EQ(it.chance("e1", start), 1);
 }
 
-// Twelve endpoints of which seven reject everything at once and so look idle,
-// for six seconds. A gateway sends 60 requests a second; what is taken holds a
-// place for 300 ms, and the waiting time grows with what runs.
+// Twelve endpoints, seven of which reject every request immediately for six
+// seconds and therefore look idle. A gateway sends 60 requests per second. An
+// accepted request occupies its endpoint for 300 ms, and the wait time grows
+// with the number of running requests.
 struct rejecting_region {
   static constexpr int endpoints = 12;
   static constexpr int rejecting = 7;
   static constexpr milliseconds between{1000 / 60};
   static constexpr milliseconds hold{300};
-  static constexpr milliseconds each{40};  // waiting for one that runs
+  static constexpr milliseconds each{40};  // wait time per running request
 
   std::vector<std::vector<monotonic_time>> ends =
       std::vector<std::vector<monotonic_time>>(endpoints);
@@ -60,7 +63,7 @@
   }
 };
 
-/// The share of the requests that are taken by the first endpoint tried.
+/// Returns the share of requests accepted by the first endpoint tried.
 double share_taken(bool learns) {
   rejecting_region region;
   acceptance known;
@@ -72,7 +75,7 @@
     std::vector<engine_candidate> all;
     for (int e = 0; e < rejecting_region::endpoints; ++e) {
       engine_candidate one;
-      // Prompts differ in where they are cached.
+      // Requests differ in where their prompts are cached.
       one.expected.wait = region.wait(e, now);
       one.expected.first_token = one.expected.wait + milliseconds((n + e) % 30);
       one.expected.finish = one.expected.first_token + milliseconds(200);
--- a/routing/test/choice-test.cc
+++ b/routing/test/choice-test.cc
@@ -1,3 +1,4 @@
+// Region choice, endpoint choice and retry budgets.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -159,7 +160,7 @@
 TEST(retry_budget_test, gateways_together_keep_within_shared_limits) {
   const shared_retry_limits limits{0.2, 54};
   for (const std::size_t gateways : {1U, 7U, 61U, 300U}) {
-    constexpr int requests = 50;  // of each gateway, in one window
+    constexpr int requests = 50;  // per gateway, in one window
     int retries = 0;
     for (std::size_t i = 0; i < gateways; ++i) {
       retry_budget budget(share_of(limits, gateways));
--- a/routing/test/cold_limiter-test.cc
+++ b/routing/test/cold_limiter-test.cc
@@ -1,3 +1,4 @@
+// Two senders together stay below the rate limit of a cold endpoint.
 #include "trestlepost/routing/cold_limiter.h"
 
 #include <gtest/gtest.h>
--- a/routing/test/crash_blame-test.cc
+++ b/routing/test/crash_blame-test.cc
@@ -1,3 +1,5 @@
+// Attribution of endpoint crashes to requests, independent of the order of
+// reports.
 #include "trestlepost/routing/crash_blame.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +19,7 @@
 
 class crash_blame_test : public testing::Test {
  protected:
-  /// `endpoint` crashes at `ms` while it runs `requests`.
+  /// Reports a crash of `endpoint` at `ms` while it runs `requests`.
   void crash(const std::string& endpoint, int ms,
              const std::vector<std::string>& requests) {
     for (const std::string& it : requests) {
@@ -120,7 +122,7 @@
   EXPECT_TRUE(blame.is_accused("r3"));
 }
 
-// Reports come in any order, some twice: the verdicts are the same.
+// The order of reports and duplicates must not affect the result.
 RC_GTEST_PROP(crash_blame_property, the_order_of_reports_does_not_matter, ()) {
   std::vector<crash_report> all;
   const int crashes = *rc::gen::inRange(1, 12);
--- a/routing/test/crash_simulation-test.cc
+++ b/routing/test/crash_simulation-test.cc
@@ -1,4 +1,5 @@
-// Requests that crash their endpoints, over many gateways and seeds.
+// Checks over many gateways and seeds that requests which crash their endpoints
+// are held soon and harmless ones are not.
 #include "crash_simulation.h"
 
 #include <gtest/gtest.h>
@@ -7,14 +8,15 @@
 namespace {
 
 constexpr int seeds = 12;
-// Enough where a mechanism is left out.
+// For tests in which a mechanism is disabled.
 constexpr int few_seeds = 3;
 constexpr int most_sends_afterwards = 3;
-// Of harmless requests; those that ran beside a crash come again and are hit
-// again while endpoints crash by the dozen.
+// Limit for harmless requests. Those that ran beside a crash are retried, and
+// may be hit again while dozens of endpoints crash.
 constexpr double most_held_share = 0.001;
 
-/// The worst of several seeds, and the sums of the harmless ones.
+/// Returns the worst result of several seeds, and the sums of harmless
+/// requests.
 crash_outcome worst_of(crash_scenario scenario, int most_seeds = seeds) {
   crash_outcome out;
   for (int n = 1; n <= most_seeds; ++n) {
@@ -100,7 +102,7 @@
   expect_kept(it);
 }
 
-// Each mechanism left out is caught.
+// The checks detect each disabled mechanism.
 TEST(crash_simulation, without_holds_too_many_are_sent) {
   crash_scenario it;
   it.endpoints = 10;
--- a/routing/test/crash_simulation.cc
+++ b/routing/test/crash_simulation.cc
@@ -1,3 +1,4 @@
+// Event-driven simulation of crashing endpoints with a seeded random source.
 #include "crash_simulation.h"
 
 #include <algorithm>
@@ -26,7 +27,7 @@
 struct request {
   std::string fingerprint;
   bool lethal = false;
-  int kind = 0;  // of a lethal one
+  int kind = 0;  // if lethal
   int gateway = 0;
   int sends = 0;
   int tries = 0;
@@ -132,7 +133,7 @@
     come(std::move(it));
   }
 
-  /// A try of the caller, at any gateway.
+  /// Sends a request from its caller to a random gateway.
   void come(request it) {
     it.gateway = below(options_.gateways);
     it.sends = 0;
@@ -224,7 +225,7 @@
        [this, n] { endpoints_[static_cast<std::size_t>(n)].up = true; });
   }
 
-  /// The send of `it` at endpoint `n` ended nowhere.
+  /// Handles the loss of request `it` on endpoint `n`.
   void fail(request it, int n) {
     if (it.sends < attempts) {
       send(std::move(it), n);
@@ -266,13 +267,13 @@
         condemned_.insert(verdict.fingerprint);
       }
     }
-    // Whoever leads goes on with what any judge has found.
+    // The leader proposes every request that any control node found.
     for (const std::string& it : condemned_) {
       if (in_log_.insert(it).second) tell(it, true);
     }
   }
 
-  /// A change takes two round trips to be in force.
+  /// Applies a change at all gateways; it takes two round trips to take effect.
   void tell(const std::string& fingerprint, bool hold) {
     for (gateway& it : gateways_) {
       at(now_ + delay() + delay() + delay(), [&it, fingerprint, hold] {
@@ -307,7 +308,8 @@
     }
   }
 
-  /// What they knew is gone but for the log, which they read before they serve.
+  /// Restarted gateways lose all state except the log, which they read before
+  /// they serve.
   void restart_gateways() {
     for (gateway& it : gateways_) {
       if (!chance(0.3)) continue;
@@ -317,7 +319,7 @@
     }
   }
 
-  /// They go on by what they knew, until they notice that they stood still.
+  /// Suspended gateways continue with stale state until they notice the pause.
   void suspend_gateways() {
     for (gateway& it : gateways_) {
       if (!chance(0.3)) continue;
--- a/routing/test/crash_simulation.h
+++ b/routing/test/crash_simulation.h
@@ -1,4 +1,5 @@
-// Gateways, endpoints that crash and the nodes that judge, without I/O.
+// Simulates gateways, crashing endpoints and the control nodes that attribute
+// crashes, without I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,39 +15,40 @@
 
 namespace trestlepost::routing::test {
 
-/// One deployment and what befalls it.
+/// Parameters of one simulated deployment and its disturbances.
 struct crash_scenario {
   std::uint64_t seed = 1;
   int gateways = 12;
   int endpoints = 24;
   int zones = 3;  // of the endpoints
-  /// Requests under way at a time, in the mean, at each endpoint.
+  /// Mean number of concurrent requests per endpoint.
   int runs_at_once = 8;
-  std::chrono::milliseconds run_time{800};  // in the mean
-  /// A harmless request that comes again and again, so often.
+  std::chrono::milliseconds run_time{800};  // mean
+  /// Rate of a harmless request that is sent repeatedly, in requests per
+  /// second.
   double returning_per_second = 0;
   int lethal_kinds = 2;
-  double lethal_per_second = 10;  // of each kind
-  bool zones_crash = false;       // one after the other, by themselves
+  double lethal_per_second = 10;  // per kind
+  bool zones_crash = false;       // one after another, without a lethal request
   bool gateways_restart = false;
   bool leaders_change = false;
-  bool judges_restart = false;  // all at once, in the middle
+  bool judges_restart = false;  // all at once, just after the first crashes
   bool gateways_suspended = false;
   double lost_messages = 0;
-  /// Mechanisms that are left out, to show what catches it.
+  /// Mechanisms to disable, to show that the checks detect their absence.
   bool without_holds = false;
   bool without_good_ends = false;
   bool without_reports_sent_again = false;
 };
 
 struct crash_outcome {
-  /// Of the lethal kind that did worst: sends by gateways in touch, later than
-  /// the contact time after its third crash.
+  /// For the worst lethal kind: sends by connected gateways later than the
+  /// contact time after its third crash.
   int sends_afterwards = 0;
   int crashes_by_worst = 0;
   int harmless = 0;
   int harmless_served = 0;
-  /// Harmless requests that were held back, of all that came.
+  /// Harmless requests that were held.
   int harmless_held = 0;
 };
 
--- a/routing/test/endpoint_warmth-test.cc
+++ b/routing/test/endpoint_warmth-test.cc
@@ -1,3 +1,4 @@
+// How long endpoints count as cold after reports and ended zone evacuations.
 #include "trestlepost/routing/endpoint_warmth.h"
 
 #include <gtest/gtest.h>
@@ -32,7 +33,7 @@
   EXPECT_TRUE(may_be_cold(it, milliseconds(200)));
   it.list_covers(7);
   EXPECT_FALSE(may_be_cold(it, milliseconds(200)));
-  // One that was read before comes late.
+  // An older list that arrives late.
   it.list_covers(6);
   EXPECT_FALSE(may_be_cold(it, milliseconds(200)));
 }
--- a/routing/test/engine_book-test.cc
+++ b/routing/test/engine_book-test.cc
@@ -1,3 +1,5 @@
+// Cache model, pending prompts, announcements and predictions of model
+// endpoints.
 #include "trestlepost/routing/engine_book.h"
 
 #include <gtest/gtest.h>
@@ -106,7 +108,7 @@
 }
 
 TEST(engine_book_test, the_least_recently_used_sections_are_forgotten) {
-  engine_book book = make_book(10'000);  // 6000 of them for caches
+  engine_book book = make_book(10'000);  // caches may use 6000
   begin(book, "a", work({{1, 3000}}, 3000), start);
   begin(book, "a", work({{2, 3000}}, 3000), start);
   begin(book, "a", work({{1, 3000}}, 3000), start);
--- a/routing/test/engine_choice-test.cc
+++ b/routing/test/engine_choice-test.cc
@@ -1,3 +1,4 @@
+// Choice between cached prompts, short waits and few running responses.
 #include "trestlepost/routing/engine_choice.h"
 
 #include <gtest/gtest.h>
--- a/routing/test/fair_queue-test.cc
+++ b/routing/test/fair_queue-test.cc
@@ -1,3 +1,4 @@
+// Sharing, ordering, overflow and expiry of the fair queue.
 #include "trestlepost/routing/fair_queue.h"
 
 #include <gtest/gtest.h>
--- a/routing/test/outlook-test.cc
+++ b/routing/test/outlook-test.cc
@@ -1,3 +1,4 @@
+// Value of a request by its estimated course, spill shares and slot waits.
 #include "trestlepost/routing/outlook.h"
 
 #include <gtest/gtest.h>
--- a/routing/test/placement-test.cc
+++ b/routing/test/placement-test.cc
@@ -1,3 +1,4 @@
+// Placement by rules, label checks, transit and earlier home regions.
 #include "trestlepost/routing/placement.h"
 
 #include <gtest/gtest.h>
@@ -135,7 +136,7 @@
   EXPECT_TRUE(at(std::chrono::hours(25)).empty());
 }
 
-/// A random configuration of three regions and a few rules.
+/// Returns a random configuration with three regions and up to three rules.
 object_store arbitrary_store(seeded_random& random) {
   object_store store;
   const char* laws[] = {"it", "eu", "ie"};
@@ -184,7 +185,7 @@
           config::matches(rule->permit, store.regions().at(region)->labels));
     }
     RC_ASSERT(any);
-    // A label never opens a region.
+    // A label must never permit an additional region.
     RC_ASSERT(labels.empty() || (bare && bare->permits(region)));
   }
 }
--- a/routing/test/retry_limits-test.cc
+++ b/routing/test/retry_limits-test.cc
@@ -1,13 +1,11 @@
-// Many gateways that do not ask each other keep within the limits of retries
-// that they share, whatever each knows of the others.
+// Gateways that do not coordinate must together stay within the shared retry
+// limits, whatever each one knows about the others.
 //
-// Seen, beside the fault that the test over real nodes tells: a process that
-// starts could use its whole part at once, and while it knew no other gateway
-// that was the part of a single one. How it came about: gateways are killed,
-// stopped or started in series, and requests fail meanwhile. Cause: what may
-// be saved up was there from the start, though no request had paid for it.
-// Proof: these tests, which failed with 144 retries where 126 are allowed, and
-// with 336 where 102 are.
+// Guards against a retry budget that starts full: a restarted process could use
+// its whole share at once, and the share of a single gateway while it knew no
+// others. Gateways that were killed, stopped or started in series while
+// requests failed then exceeded the limits (144 retries where 126 are allowed,
+// and 336 where 102 are).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,7 +25,7 @@
 constexpr shared_retry_limits limits{0.2, 54};
 constexpr int gateways = 12;
 
-/// Lets a gateway see `requests` requests and take what it can after each.
+/// Records `requests` requests and takes all available retries after each.
 int take_all(retry_budget& budget, int requests) {
   int out = 0;
   for (int n = 0; n < requests; ++n) {
@@ -39,7 +37,7 @@
 
 TEST(retry_limits_test, gateways_that_restart_in_series_add_nothing) {
   constexpr int starts = 6;
-  constexpr int requests = 5;  // of each life, all within one window
+  constexpr int requests = 5;  // per start, all within one window
   int retries = 0;
   for (int gateway = 0; gateway < gateways; ++gateway) {
     for (int life = 0; life < starts; ++life) {
@@ -68,7 +66,7 @@
   EXPECT_TRUE(sends.cover_next(budget));
   sends.sent(1);
   EXPECT_TRUE(sends.cover_next(budget));
-  // What was not sent serves the next one.
+  // A charge that was not used covers the next send.
   sends.sent(0);
   EXPECT_TRUE(sends.cover_next(budget));
   sends.sent(1);
@@ -105,14 +103,14 @@
   EXPECT_FALSE(sends.cover_next(own));
 }
 
-/// What a simulated deployment gets wrong on purpose.
+/// Faults to inject into the simulated deployment.
 enum class mistake { none, free_elsewhere, starts_full };
 
-/// Gateways of three regions whose endpoints reject everything at times, while
-/// regions at times have no endpoint with room. Each request tries its own
-/// region and then the others, as its route allows;
-/// meanwhile gateways restart, know no other at first, and regions are cut from
-/// each other and forget the rest.
+/// Gateways in three regions. At times all endpoints reject everything, regions
+/// have no endpoint with a free slot, gateways restart without knowing any
+/// other, or regions are partitioned and count only their own gateways. Each
+/// request tries its own region first and then the others, as its route
+/// permits.
 class simulated_gateways {
  public:
   simulated_gateways(std::uint64_t seed, mistake wrong)
@@ -132,7 +130,7 @@
     }
   }
 
-  /// By how much the repeats of some ten seconds exceed what is allowed.
+  /// Returns by how much the repeats within any ten seconds exceed the limit.
   double worst_excess() const {
     constexpr std::chrono::seconds window{10};
     double out = -limits.slack;
@@ -204,10 +202,10 @@
     sends.end(budgets_[entry]);
   }
 
-  /// How often the request reaches endpoints there.
+  /// Returns how many endpoints the request reaches in the gateway's region.
   unsigned serve_in_region(std::size_t gateway, unsigned before) {
     retry_budget& budget = budgets_[gateway];
-    // The first regions in order are full: most requests pass through them.
+    // The first regions in order are full, so most requests pass through them.
     if (gateway / in_region < full_) return 0;
     paid_sends sends(before);
     while (sends.count() < attempts && sends.cover_next(budget)) {
@@ -224,12 +222,12 @@
   std::array<retry_budget, all> budgets_;
   bool rejecting_ = false;
   bool cut_ = false;
-  std::size_t full_ = 0;  // so many regions
+  std::size_t full_ = 0;  // number of regions
   std::vector<monotonic_time> seen_;
   std::vector<monotonic_time> repeats_;
 };
 
-/// Of `seeds` runs, those in which more was repeated than is allowed.
+/// Returns how many of `seeds` runs exceeded the limit.
 int runs_beyond(mistake wrong, int seeds) {
   int out = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
--- a/routing/test/route_table-test.cc
+++ b/routing/test/route_table-test.cc
@@ -1,3 +1,4 @@
+// Route lookup and weighted choice of a service.
 #include "trestlepost/routing/route_table.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +32,7 @@
   struct example {
     const char* host;
     const char* path;
-    const char* route;  // empty: none
+    const char* route;  // empty: no route
   };
   const std::vector<example> all{
       {"a.example", "/x/1", "short"},
--- a/surface/include/trestlepost/surface/call_head.h
+++ b/surface/include/trestlepost/surface/call_head.h
@@ -1,5 +1,5 @@
-// What the head of a caller's request says, in the product's terms. It is
-// what the routes of a traffic plan are matched against.
+// The head of a caller's request in protocol-independent form. The routes of a
+// traffic plan are matched against it.
 #pragma once
 
 #include <chrono>
@@ -13,8 +13,8 @@
 
 namespace trestlepost::surface {
 
-/// A run of a prompt's tokens. Prompts that begin with the same parts share
-/// what an engine has cached of them.
+/// A run of prompt tokens. Prompts that start with the same parts can share the
+/// engine's prefix cache for them.
 struct prompt_part {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
@@ -22,37 +22,39 @@
   bool operator==(const prompt_part&) const = default;
 };
 
-/// What a caller says of the work behind a model call.
+/// What a caller states about the prompt and the output of a model call.
 struct prompt_outline {
-  std::vector<prompt_part> parts;  // in order; the last is the request's own
+  // in order; the last one is specific to the request
+  std::vector<prompt_part> parts;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t most_output_tokens = 0;
-  std::optional<std::uint32_t> expected_output_tokens;  // the caller's guess
+  std::optional<std::uint32_t> expected_output_tokens;  // the caller's estimate
 
   bool known() const { return prompt_tokens > 0; }
   bool operator==(const prompt_outline&) const = default;
 };
 
-/// What a call says beside its body.
+/// Everything that a call contains except its body.
 struct call_head {
   std::string request_id;
   std::string host;
   std::string method;
-  std::string target;  // path and query, as the caller sent them
-  /// How long the caller waits.
+  std::string target;  // path and query, unchanged
+  /// Time for which the caller waits for the response.
   std::optional<std::chrono::milliseconds> patience;
   prompt_outline prompt;
-  /// The last event of a broken stream that the caller has seen, or empty.
+  /// Id of the last event that the caller received of a broken stream, or
+  /// empty.
   std::string resume_after;
-  /// Headers that go to the endpoint as they came. None of them concerns one
-  /// connection only, and none is the gateway's own to set.
+  /// Headers that are passed to the endpoint unchanged. Contains no hop-by-hop
+  /// headers and none that the gateway sets itself.
   transport::header_list passed_on;
 
   std::string_view path() const {
     const std::string_view all = target;
     return all.substr(0, all.find('?'));
   }
-  /// The value of a header that is passed on, or empty.
+  /// Returns the value of a header in `passed_on`, or an empty string.
   std::string_view passed_header(std::string_view name) const;
 };
 
--- a/surface/include/trestlepost/surface/caller_surface.h
+++ b/surface/include/trestlepost/surface/caller_surface.h
@@ -1,4 +1,5 @@
-// How callers speak: bytes to a request head, a refusal to bytes.
+// Interface to the protocol of callers: parses request heads and formats
+// refusals.
 #pragma once
 
 #include <chrono>
@@ -9,22 +10,23 @@
 
 namespace trestlepost::surface {
 
-/// Why a request gets no endpoint's answer.
+/// Why a request gets no response from an endpoint.
 struct refusal {
   error cause;
-  /// Whether the request ran; the answer must not promise more than this.
+  /// Whether the request ran. The response to the caller must not claim more
+  /// than this.
   run_state ran = run_state::no;
-  /// When to come back; 0 when coming back does not help.
+  /// Time after which the caller may retry; 0 if a retry does not help.
   std::chrono::milliseconds retry_after{0};
   std::string request_id{};
 };
 
-/// Reads calls and writes refusals, in the form that callers know.
+/// Parses calls and formats refusals in the protocol of callers.
 class caller_surface {
  public:
   virtual ~caller_surface() = default;
 
-  /// The head of the request of `exchange`; an error for one that is unsound.
+  /// Parses the request head of `exchange`; fails if it is invalid.
   virtual result<call_head> read_head(
       const transport::http_exchange& exchange) const = 0;
 
--- a/surface/include/trestlepost/surface/endpoint_codec.h
+++ b/surface/include/trestlepost/surface/endpoint_codec.h
@@ -1,5 +1,5 @@
-// How endpoints are spoken to: a request to bytes, an answer's head to what
-// it says of the request and of the endpoint.
+// Interface to the protocol of endpoints: encodes requests and parses response
+// heads.
 #pragma once
 
 #include <chrono>
@@ -11,48 +11,49 @@
 
 namespace trestlepost::surface {
 
-/// One attempt to run a request at an endpoint.
+/// An attempt to run a request on an endpoint.
 struct endpoint_attempt {
   const call_head& head;
   const std::string& body;
-  /// The endpoint that is meant: another one at its address must refuse.
+  /// The intended endpoint; another endpoint at the same address must refuse.
   std::string endpoint_id;
-  /// After so long nobody waits for the answer any more.
+  /// Time until the caller's deadline.
   std::chrono::milliseconds remaining{0};
   int priority = 0;  // 0 is the most urgent
-  /// The stream goes on after this event; empty: from its beginning.
+  /// Id of the event after which the stream resumes; empty: from the start.
   std::string resume_after{};
-  /// "IP:PORT" of an endpoint from which cached parts of the prompt are
-  /// copied before the rest is read; empty: none.
+  /// "IP:PORT" of the endpoint from which cached parts of the prompt are copied
+  /// before the rest is prefilled; empty: none.
   std::string copy_cache_from{};
-  /// Drawn for this attempt. An endpoint that echoes it shows which request
-  /// it answers.
+  /// Random id of this attempt. An endpoint that echoes it confirms which
+  /// request it answers.
   std::string attempt_id{};
 };
 
-/// The load that an endpoint tells, in requests.
+/// Load as reported by the endpoint, in requests.
 struct endpoint_load {
   unsigned running = 0;
   unsigned waiting = 0;
   unsigned slots = 0;
 };
 
-/// What the head of an answer says.
+/// The parsed head of an endpoint's response.
 struct endpoint_answer {
-  /// The endpoint promises that it has not run the request and never will.
+  /// The endpoint guarantees that it has not run the request and will not run
+  /// it.
   bool not_run = false;
-  /// Another endpoint has the address now.
+  /// The address now belongs to another endpoint.
   bool other_endpoint = false;
-  /// The id of the request that is answered; empty when it is not echoed.
+  /// Id of the request that is answered; empty if not echoed.
   std::string request_id;
-  /// The id of the attempt that is answered; empty when it is not echoed.
+  /// Id of the attempt that is answered; empty if not echoed.
   std::string attempt_id;
   std::optional<endpoint_load> load;
-  /// How long the endpoint stays cold.
+  /// Time for which the endpoint stays cold.
   std::optional<std::chrono::milliseconds> cold_left;
 };
 
-/// Writes requests to endpoints and reads the heads of their answers.
+/// Encodes requests to endpoints and parses the heads of their responses.
 class endpoint_codec {
  public:
   virtual ~endpoint_codec() = default;
@@ -61,7 +62,7 @@
 
   virtual endpoint_answer read_head(const transport::http_call& call) const = 0;
 
-  /// The headers of an answer that the caller gets as they came.
+  /// Returns the response headers that are passed to the caller unchanged.
   virtual transport::header_list passed_back(
       const transport::http_call& call) const = 0;
 };
--- a/surface/include/trestlepost/surface/endpoint_identity.h
+++ b/surface/include/trestlepost/surface/endpoint_identity.h
@@ -1,4 +1,4 @@
-// Which life of an endpoint is meant.
+// Identifies one incarnation of an endpoint.
 #pragma once
 
 #include <chrono>
@@ -8,27 +8,29 @@
 
 namespace trestlepost::surface {
 
-/// When an endpoint started, by the time of day of its VM.
+/// Start of an endpoint by the clock of its VM.
 using start_time = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// One life of an endpoint. An endpoint may start again under its id; it then
-/// holds and knows nothing of before. So whatever is known of an endpoint
-/// belongs to a life: its load, speed, warmth and cached prompt parts are kept
-/// and told by `name`, and a record of the life before is never found again.
+/// One incarnation of an endpoint. An endpoint may restart under the same id
+/// without its previous requests and caches. All state about an endpoint (load,
+/// speed, warmth and cached prompt parts) is therefore stored and exchanged by
+/// `name`, so that records of an earlier incarnation are never used for a later
+/// one.
 struct endpoint_identity {
-  /// What the deployment calls it, in all its lives.
+  /// Id in the deployment, the same for all incarnations.
   std::string id;
-  /// The epoch where the deployment does not tell: the first life.
+  /// Start of this incarnation. The epoch (first incarnation) if the deployment
+  /// does not report it.
   start_time born{};
 
-  /// Stands for this life in records, logs and what gateways tell each other:
-  /// the id, and for a later life "@" and its start in ms.
+  /// Name of this incarnation in records, logs and messages between gateways:
+  /// the id, followed by "@" and the start in ms for later incarnations.
   std::string name() const;
 
   auto operator<=>(const endpoint_identity&) const = default;
 };
 
-/// The id in what `endpoint_identity::name` wrote.
+/// Returns the id contained in a result of `endpoint_identity::name`.
 std::string_view id_in_name(std::string_view name);
 
 }  // namespace trestlepost::surface
--- a/surface/include/trestlepost/surface/entry_surface.h
+++ b/surface/include/trestlepost/surface/entry_surface.h
@@ -1,4 +1,5 @@
-// How callers learn which nodes to use, and how the deployment checks a node.
+// Interface to the protocol by which callers discover nodes and the deployment
+// checks the readiness of a node.
 #pragma once
 
 #include <chrono>
@@ -13,19 +14,19 @@
 
 namespace trestlepost::surface {
 
-/// What a node says of itself.
+/// The state that a node reports about itself.
 struct node_report {
-  bool ready = false;  // takes requests
+  bool ready = false;  // accepts requests
   std::string state{};
-  std::uint64_t revision = 0;  // of its configuration
+  std::uint64_t revision = 0;  // of the node's configuration
 };
 
-/// Reads the calls for entries and readiness, and writes their answers.
+/// Parses queries for entries and readiness, and formats their responses.
 class entry_surface {
  public:
   virtual ~entry_surface() = default;
 
-  /// Who asks for entries; nothing when the call is another one.
+  /// Parses a query for entries; returns nothing if the call is another one.
   virtual std::optional<membership::entry_query> read_query(
       std::string_view method, std::string_view target) const = 0;
 
@@ -33,7 +34,7 @@
       const std::vector<membership::entry_view>& entries,
       std::chrono::milliseconds lifetime) const = 0;
 
-  /// Whether the call asks if this node takes requests.
+  /// Returns whether the call is a readiness check of this node.
   virtual bool asks_readiness(std::string_view method,
                               std::string_view target) const = 0;
   virtual transport::http_answer show_readiness(
--- a/surface/include/trestlepost/surface/operators_surface.h
+++ b/surface/include/trestlepost/surface/operators_surface.h
@@ -1,4 +1,5 @@
-// How operators write the traffic plan and evacuate availability zones.
+// Interface to the protocol by which operators replace the traffic plan and
+// evacuate availability zones.
 #pragma once
 
 #include <string>
@@ -13,26 +14,27 @@
 
 struct operator_order {
   order_kind kind = order_kind::read_plan;
-  config::plan_ptr plan;          // of replace_plan; not checked yet
-  std::string availability_zone;  // of evacuate and end_evacuation
+  config::plan_ptr plan;          // for replace_plan; not validated yet
+  std::string availability_zone;  // for evacuate and end_evacuation
 };
 
 class operators_surface {
  public:
   virtual ~operators_surface() = default;
 
-  /// The order that a call holds: `not_found` for an unknown call,
-  /// `bad_input` for one that can't be read in full.
+  /// Parses the order in a call. Fails with `not_found` for an unknown call and
+  /// with `bad_input` for one that can't be parsed completely.
   virtual result<operator_order> read_order(std::string_view method,
                                             std::string_view target,
                                             const std::string& body) const = 0;
 
-  /// The order is in the log, or needed no change.
+  /// Formats the response for an order that is committed or needed no change.
   virtual transport::http_answer acknowledge(
       const operator_order& order) const = 0;
   virtual transport::http_answer show_plan(
       const config::traffic_plan& plan) const = 0;
-  /// `bad_input` is final; any other kind means "ask again".
+  /// Formats an error. `bad_input` is final; the client may retry after any
+  /// other kind.
   virtual transport::http_answer refuse(const error& why) const = 0;
 };
 
--- a/surface/include/trestlepost/surface/run_state.h
+++ b/surface/include/trestlepost/surface/run_state.h
@@ -1,14 +1,14 @@
-// Whether a request was run by an endpoint.
+// Whether an endpoint has run a request.
 #pragma once
 
 #include <string_view>
 
 namespace trestlepost::surface {
 
-/// Unknown: it was sent, and no answer tells.
+/// Unknown: the request was sent, but no response shows whether it ran.
 enum class run_state { no, unknown, yes };
 
-/// "no", "unknown" or "yes", as callers are told.
+/// Returns "no", "unknown" or "yes", as reported to callers.
 constexpr std::string_view to_string(run_state state) {
   switch (state) {
     case run_state::no:
--- a/surface/include/trestlepost/surface/surfaces.h
+++ b/surface/include/trestlepost/surface/surfaces.h
@@ -1,4 +1,4 @@
-// All codecs of one way to speak to the outside. A deployment uses one.
+// The set of protocol codecs of a deployment. A deployment uses one set.
 #pragma once
 
 #include <memory>
--- a/surface/src/call_head.cc
+++ b/surface/src/call_head.cc
@@ -1,3 +1,4 @@
+// JSON form of a request head, in which gateways forward it.
 #include "trestlepost/surface/call_head.h"
 
 #include <boost/beast/core/string.hpp>
@@ -41,21 +42,23 @@
 
 tl::unexpected<error> unsound_head(const std::string& what) {
   return fail(error_kind::bad_input, what,
-              "run one version of trestlepostd on all nodes");
+              "run the same version of trestlepostd on all nodes");
 }
 
-/// Names and values in turns, as `to_json` writes them.
+/// Parses alternating header names and values, as written by `to_json`.
 result<transport::header_list> headers_from(const json& value) {
   transport::header_list out;
   if (value.isNull()) return out;
   if (!value.isArray() || value.size() % 2 != 0) {
-    return unsound_head("the headers of a forwarded head are no pairs");
+    return unsound_head(
+        "the headers of a forwarded request are not name-value pairs");
   }
   for (Json::ArrayIndex i = 0; i < value.size(); i += 2) {
     const json& name = value[i];
     const json& text = value[i + 1];
     if (!name.isString() || !text.isString()) {
-      return unsound_head("a header of a forwarded head is no text");
+      return unsound_head(
+          "a header name or value of a forwarded request is not a string");
     }
     out.emplace_back(name.asString(), text.asString());
   }
@@ -102,7 +105,8 @@
   const bool whole = !out.request_id.empty() && !out.method.empty() &&
                      out.target.starts_with('/');
   if (whole) return out;
-  return unsound_head("a forwarded head is incomplete");
+  return unsound_head(
+      "the head of a forwarded request lacks its id, method or path");
 }
 
 }  // namespace trestlepost::surface
--- a/surface/src/endpoint_identity.cc
+++ b/surface/src/endpoint_identity.cc
@@ -1,3 +1,4 @@
+// Names of endpoint incarnations.
 #include "trestlepost/surface/endpoint_identity.h"
 
 namespace trestlepost::surface {
--- a/surface/test/call_head-test.cc
+++ b/surface/test/call_head-test.cc
@@ -1,3 +1,4 @@
+// JSON form of request heads; invalid forwarded heads are refused.
 #include "trestlepost/surface/call_head.h"
 
 #include <gtest/gtest.h>
--- a/surface/test/endpoint_identity-test.cc
+++ b/surface/test/endpoint_identity-test.cc
@@ -1,3 +1,4 @@
+// Names of endpoint incarnations are unique and contain the id.
 #include "trestlepost/surface/endpoint_identity.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +13,7 @@
 TEST(endpoint_identity_test, each_life_has_a_name_of_its_own) {
   EXPECT_EQ((endpoint_identity{"i-7", {}}).name(), "i-7");
   EXPECT_EQ((endpoint_identity{"i-7", later}).name(), "i-7@1764722400123");
-  // Not the name of a later life of "i-7".
+  // Must differ from the name of a later incarnation of "i-7".
   EXPECT_EQ((endpoint_identity{"i-7@1764722400123", {}}).name(),
             "i-7@1764722400123@0");
 }
--- a/surface/test/fake_messages.h
+++ b/surface/test/fake_messages.h
@@ -1,4 +1,4 @@
-// Requests and answers for tests of codecs: heads only.
+// Fake requests and responses for codec tests. Only their heads are used.
 #pragma once
 
 #include <boost/beast/core/string.hpp>
@@ -17,7 +17,7 @@
   return {};
 }
 
-/// A call of a caller, with the headers that a test sets.
+/// A caller's request with the headers set by a test.
 class fake_exchange final : public transport::http_exchange {
  public:
   std::string method_text = "POST";
@@ -53,7 +53,7 @@
   void on_gone(std::function<void()>) override {}
 };
 
-/// An endpoint's answer, with the head that a test sets.
+/// An endpoint's response with the head set by a test.
 class fake_call final : public transport::http_call {
  public:
   unsigned status_code = 200;
