--- a/gateway/include/trestlepost/gateway/admission.h
+++ b/gateway/include/trestlepost/gateway/admission.h
@@ -1,5 +1,6 @@
-// Admission to the endpoints of the own region: at once when one has room,
-// else through a fair queue, else a refusal that says when to come back.
+// Admits requests to the endpoints of the local region: immediately if an
+// endpoint has capacity, otherwise through a fair queue, or refuses them with a
+// Retry-After.
 #pragma once
 
 #include <map>
@@ -15,7 +16,8 @@
 
 namespace trestlepost::gateway {
 
-/// The right to send one request to one endpoint; ends with its life.
+/// Permission to send one request to one endpoint. Frees the endpoint's slot on
+/// destruction.
 class endpoint_lease {
  public:
   endpoint_lease(std::function<void()> release, std::string name,
@@ -37,19 +39,21 @@
  public:
   explicit admission(gateway_context& context) : context_(context) {}
 
-  /// Waits for an endpoint until the request's deadline.
+  /// Waits for an endpoint until the request's deadline, and returns the
+  /// refusal if there is none by then.
   transport::awaitable<tl::expected<endpoint_lease, attempt>> admit(
       const incoming_request& request, std::set<std::string> avoid,
       transport::http_exchange& exchange);
 
-  /// Expected time in the queue of a request that comes now.
+  /// Returns the expected queueing time of a request that arrives now.
   std::chrono::milliseconds expected_wait(const std::string& service) const;
 
-  /// Tells how long a request took at its endpoint.
+  /// Records how long an endpoint took to serve a request.
   void observe_duration(const std::string& service,
                         std::chrono::nanoseconds duration);
 
-  /// Gives freed room to those who wait; ends what is too late.
+  /// Assigns free endpoints to queued requests of all services and refuses
+  /// those that can no longer meet their deadline.
   void pump_all();
 
   membership::service_load load_of(const std::string& service) const;
@@ -64,14 +68,19 @@
   };
 
   service_queue& queue_of(const std::string& service);
+  /// Assigns free endpoints to queued requests of `service`.
   void pump(const std::string& service);
   std::optional<membership::endpoint_view> choose(
       const std::string& service, std::uint64_t affinity,
       const std::set<std::string>& avoid) const;
   endpoint_lease make_lease(const std::string& service,
                             const membership::endpoint_view& chosen);
+  /// Removes a queued request and completes it with `outcome`.
   void end_wait(service_queue& queue, std::uint64_t id, attempt outcome);
+  /// The number of gateways of this region that send to its endpoints.
   unsigned gateways() const;
+  /// This gateway's share of the requests that the endpoints of `service` can
+  /// run at the same time.
   double capacity_of(const std::string& service) const;
   attempt overload(std::chrono::milliseconds wait) const;
 
--- a/gateway/include/trestlepost/gateway/attempt.h
+++ b/gateway/include/trestlepost/gateway/attempt.h
@@ -1,4 +1,4 @@
-// How one attempt to serve a request ended.
+// The result of one attempt to serve a request.
 #pragma once
 
 #include <chrono>
@@ -13,30 +13,31 @@
 
 using surface::run_state;
 
-/// Whether the caller has an answer, and if not, why.
+/// States whether the caller received an answer and, if not, why.
 struct attempt {
-  /// The caller got an answer, or at least its beginning: nothing may follow.
+  /// The caller received an answer or the beginning of one; no other answer may
+  /// follow.
   bool delivered = false;
   run_state ran = run_state::no;
-  error cause;  // when not delivered
+  error cause;  // set unless delivered
   std::chrono::milliseconds retry_after{0};
-  std::string endpoint;  // that was tried, or empty
-  unsigned sends = 0;    // endpoints that the request was written to
-  /// The endpoint broke off a stream of which the caller has events, and the
-  /// answer is still open: it has to be continued or broken off.
+  std::string endpoint;  // the endpoint tried, or empty
+  unsigned sends = 0;    // endpoints the request was written to
+  /// The endpoint's stream was interrupted after the caller received events
+  /// from it. The answer is still open and must be continued or aborted.
   bool stream_broken = false;
-  /// The run broke off with its connection to the endpoint.
+  /// The connection to the endpoint was lost during the run.
   bool connection_lost = false;
-  /// A failure that the endpoint itself answered; the caller gets it when no
-  /// other attempt follows.
+  /// An error response from the endpoint itself. The caller receives it if
+  /// there is no further attempt.
   std::optional<transport::http_answer> endpoint_answer;
 };
 
-/// Whether a run that ended with `cause` lost its connection, other than by a
-/// deadline of this gateway.
+/// Returns whether `cause` is a lost connection rather than a deadline of this
+/// gateway.
 bool is_broken(const error& cause);
 
-/// An attempt that ended without an answer.
+/// Returns an attempt that ended without an answer.
 attempt failed_attempt(
     run_state ran, error cause,
     std::chrono::milliseconds retry_after = std::chrono::milliseconds(0));
--- a/gateway/include/trestlepost/gateway/chosen_endpoint.h
+++ b/gateway/include/trestlepost/gateway/chosen_endpoint.h
@@ -1,4 +1,4 @@
-// The endpoint of the own region that serves a routed request.
+// The endpoint of the local region selected for a routed request.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,18 @@
 
 namespace trestlepost::gateway {
 
-/// One endpoint that was chosen for a request.
+/// An endpoint selected for a request.
 struct chosen_endpoint {
-  /// Of its present life.
+  /// The name of the endpoint's current incarnation.
   std::string name;
   std::string address;
   routing::outlook expected;
-  /// The address of an endpoint whose cache has parts of the prompt that this
-  /// one lacks; empty: none is known.
+  /// The address of an endpoint that has cached parts of the prompt missing
+  /// here; empty if none is known.
   std::string copy_cache_from;
-  /// Prompt tokens that it is expected to read.
+  /// The number of prompt tokens the endpoint is expected to process.
   std::uint32_t read_tokens = 0;
-  /// That it takes the request.
+  /// The probability that the endpoint accepts the request.
   double chance = 1;
 };
 
--- a/gateway/include/trestlepost/gateway/context.h
+++ b/gateway/include/trestlepost/gateway/context.h
@@ -1,4 +1,4 @@
-// What the parts of a gateway share. All of it belongs to the node and
+// State shared by the components of a gateway. The node owns all of it, and it
 // outlives the gateway.
 #pragma once
 
@@ -18,35 +18,35 @@
 
 namespace trestlepost::gateway {
 
-/// The ledger of this node's region, and the way to those of other regions.
+/// Access to the ledger of this node's region and to those of other regions.
 class run_once {
  public:
   virtual ~run_once() = default;
 
-  /// The decision on a claim, committed by a majority; an error when there is
-  /// none by `deadline`. The claim is then given up, and released should it
-  /// be granted late.
+  /// Returns the decision on a claim once a majority has committed it, or an
+  /// error if there is none by `deadline`. In that case the claim is abandoned,
+  /// and released if it is granted later.
   virtual transport::awaitable<result<ledger::claim_decision>> claim(
       ledger::claim_command asked, monotonic_time deadline) = 0;
 
-  /// Closes a key in a region that owned it before.
+  /// Closes a key in a region that previously owned it.
   virtual transport::awaitable<result<ledger::claim_decision>> fence(
       std::string region, ledger::fence_command asked,
       monotonic_time deadline) = 0;
 
-  /// Records how an attempt ended; goes on until it is recorded.
+  /// Records the outcome of an attempt, retrying until it is stored.
   virtual void finish(const ledger::finish_command& told) = 0;
 
-  /// An id for an attempt of this process.
+  /// Returns a new attempt id, unique to this process.
   virtual std::string make_attempt_id() = 0;
 };
 
 struct gateway_options {
-  std::size_t queue_capacity = 2000;  // for each service
+  std::size_t queue_capacity = 2000;  // per service
   std::chrono::milliseconds claim_timeout{3000};
   unsigned most_attempts = 3;
   routing::region_choice_options region_choice;
-  /// How long an answer of the entry directory may be used.
+  /// How long callers may cache a response of the entry directory.
   std::chrono::milliseconds directory_lifetime{5000};
 };
 
@@ -64,7 +64,7 @@
   run_once& ledger;
   std::string peer_secret;
   gateway_options options;
-  /// Round trip to each region, as measured.
+  /// Measured round-trip time to each region.
   std::map<std::string, std::chrono::milliseconds>& round_trips;
 };
 
--- a/gateway/include/trestlepost/gateway/crash_watch.h
+++ b/gateway/include/trestlepost/gateway/crash_watch.h
@@ -1,5 +1,5 @@
-// Tells endpoints that crash from connections that break, and requests that
-// crash them from those that ran beside.
+// Distinguishes endpoint crashes from lost connections, and requests that cause
+// crashes from those that merely ran on the same endpoint.
 #pragma once
 
 #include <functional>
@@ -16,70 +16,78 @@
 
 namespace trestlepost::gateway {
 
-/// Where a request ran.
+/// The endpoint a request ran on.
 struct run_place {
   std::string endpoint;
   std::string address;
   std::string service;
 };
 
-/// Where a run broke off with its connection, asks the endpoint's address for
-/// a new one. A VM that refuses it has no endpoint there any more: it crashed.
-/// One that takes it is well, and one that is silent was cut off or lost its
-/// power; neither says anything of what ran there.
+/// Probes the endpoint's address with a new connection when a run ends with a
+/// lost connection. A refused connection means that no process listens there
+/// any more: the endpoint crashed. An accepted one means that the endpoint is
+/// alive. A timeout means a network partition or a power loss. Only a crash
+/// counts against the requests that ran there.
 ///
-/// Requests are known here by their fingerprints. Those that crash endpoints
-/// are held back: none is sent to an endpoint once the configuration says so,
-/// or once enough endpoints have crashed at this gateway alone.
+/// Requests are identified by their fingerprints. Those that crash endpoints
+/// are held: they are sent to no endpoint once the configuration lists them, or
+/// once this gateway alone has observed enough crashes.
 class crash_watch {
  public:
   explicit crash_watch(gateway_context& context) : context_(context) {}
 
-  /// Called for each request that ran at an endpoint when it crashed.
+  /// Called for each request that was running on an endpoint when it crashed.
   std::function<void(const routing::crash_report&)> on_crash;
-  /// Called when a request that ran where endpoints crashed has ended well.
+  /// Called when a request that was involved in crashes completes normally.
   std::function<void(const std::string& fingerprint)> on_ended_well;
 
-  /// A run of the request with this fingerprint broke off with its connection.
+  /// Records that a run of the request with this fingerprint lost its
+  /// connection, and probes the endpoint.
   void run_broke(const std::string& fingerprint, const run_place& at);
 
-  /// Whether it matters which requests end well now.
+  /// Returns whether any request is monitored, so that normal completions have
+  /// to be recorded.
   bool watches_any() const { return !watched_.empty(); }
   void run_ended_well(const std::string& fingerprint);
 
-  /// Whether any request is held back, so that fingerprints matter.
+  /// Returns whether any request is held, so that fingerprints have to be
+  /// checked.
   bool holds_any() const;
-  /// The refusal of a request that is held back.
+  /// Returns the refusal for the request if it is held.
   std::optional<attempt> refusal_of(const std::string& fingerprint) const;
-  /// Whether so much speaks against the request that one try of its caller is
-  /// worth one endpoint at most.
+  /// Returns whether the request is suspected of causing crashes. A caller's
+  /// attempt at such a request may cost one endpoint at most.
   bool is_suspect(const std::string& fingerprint) const;
 
-  /// Others have seen endpoints crash under these.
+  /// Adds requests under which other gateways observed crashes.
   void take_suspects(const std::vector<std::string>& fingerprints);
-  /// The leader has these held back; the configuration will say so in a moment.
+  /// Adds requests that the leader of the control nodes proposes to hold. The
+  /// configuration lists them shortly afterwards.
   void take_condemned(const std::vector<std::string>& fingerprints);
 
   void tick();
 
  private:
+  /// Probes the endpoint at `at` and evaluates the interrupted runs.
   transport::awaitable<void> ask(run_place at);
   void crashed(const std::string& fingerprint, const run_place& at);
-  /// Holds back what endpoints crashed under at this gateway alone.
+  /// Holds the requests that this gateway's own observations are sufficient to
+  /// hold.
   void judge_own();
   void hold_here(const std::string& fingerprint);
-  /// Forgets what spoke against requests that were released.
+  /// Clears the evidence against requests that were released.
   void note_released();
   void forget_old();
 
   gateway_context& context_;
-  routing::crash_blame blame_;  // from this gateway's own runs
-  /// Requests whose runs broke off at an endpoint, while it is asked.
+  routing::crash_blame blame_;  // based on this gateway's own runs
+  /// Fingerprints of runs that lost their connection, by endpoint, while the
+  /// endpoint is being probed.
   std::map<std::string, std::set<std::string>> broken_at_;
-  /// Until when an end of these requests is news.
+  /// Until when the completion of each of these requests is reported.
   std::map<std::string, monotonic_time> watched_;
   std::map<std::string, monotonic_time> suspects_;
-  /// Until when this gateway holds requests back by itself.
+  /// Until when this gateway holds each request on its own decision.
   std::map<std::string, monotonic_time> held_here_;
   config::hold_tracker holds_;
   monotonic_time next_cleaning_{};
--- a/gateway/include/trestlepost/gateway/delivery.h
+++ b/gateway/include/trestlepost/gateway/delivery.h
@@ -1,4 +1,5 @@
-// Brings the answer of a call to the caller, whole or visibly broken.
+// Passes the answer of a call on to the caller, either complete or recognizably
+// truncated.
 #pragma once
 
 #include <functional>
@@ -10,24 +11,24 @@
 
 namespace trestlepost::gateway {
 
-/// The headers that every answer carries.
+/// Returns the headers that every answer carries.
 transport::header_list answer_headers(const std::string& region, run_state ran,
                                       const std::string& request_id);
 
 struct delivery_result {
   attempt outcome;
-  /// The answer as it went out, when it was whole and small enough.
+  /// The answer as sent, if it was complete and small enough to store.
   ledger::stored_answer answer;
 };
 
-/// Sends the answer of `call` on. A short plain answer is read whole first,
-/// so that one that is cut short can still be retried. `on_first` is called
-/// at its first piece.
+/// Sends the answer of `call` to the caller. Buffers a short non-streamed
+/// answer completely before sending, so that a truncated one can be retried.
+/// Calls `on_first` at the first piece of the body.
 transport::awaitable<delivery_result> deliver(
     transport::http_call& call, transport::http_exchange& exchange,
     transport::header_list headers, std::function<void()> on_first);
 
-/// Sends a refusal for an attempt that failed.
+/// Sends a refusal for a failed attempt.
 transport::awaitable<void> refuse(transport::http_exchange& exchange,
                                   const attempt& outcome,
                                   const std::string& request_id);
--- a/gateway/include/trestlepost/gateway/endpoint_lives.h
+++ b/gateway/include/trestlepost/gateway/endpoint_lives.h
@@ -1,5 +1,5 @@
-// Which life of each listed endpoint is the newest. Lists lag by different
-// times, and another reader's may come late.
+// Tracks the newest incarnation of each listed endpoint. Lists are delayed by
+// different amounts, and one relayed by another list reader may be older.
 #pragma once
 
 #include <map>
@@ -13,9 +13,10 @@
 
 class endpoint_lives {
  public:
-  /// The entries of `listed` without those of a life that ended before one
-  /// that is known, here or from an earlier list. Of two entries for one life
-  /// the first holds, and it leaves when either says so.
+  /// Returns the entries of `listed` without those of incarnations superseded
+  /// by a newer one, in this list or an earlier one. If two entries describe
+  /// the same incarnation, the first is returned; it is marked as leaving if
+  /// either of them is.
   std::vector<surface::listed_endpoint> newest(
       const std::vector<surface::listed_endpoint>& listed, monotonic_time now);
 
@@ -25,10 +26,11 @@
     monotonic_time listed_at;
   };
 
+  /// Records the newest incarnation of each endpoint in `listed`.
   void note(const std::vector<surface::listed_endpoint>& listed,
             monotonic_time now);
 
-  std::map<std::string, life> newest_;  // by id
+  std::map<std::string, life> newest_;  // by endpoint id
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/endpoint_pool.h
+++ b/gateway/include/trestlepost/gateway/endpoint_pool.h
@@ -1,5 +1,5 @@
-// The endpoints of the own region that the deployment lists, and which of
-// them serves a routed request now.
+// The endpoints of the local region as listed by the deployment, and the
+// selection of one for a routed request.
 #pragma once
 
 #include <map>
@@ -23,35 +23,37 @@
 
 namespace trestlepost::gateway {
 
-/// Knows the endpoints of the own region, and chooses among them. It keeps
-/// what answers tell of their load and of those that are still cold.
+/// Keeps the endpoints of the local region and selects among them by their
+/// reported load, cache state and warmth.
 class endpoint_pool {
  public:
   explicit endpoint_pool(gateway_context& context) : context_(context) {}
 
-  /// Takes in the whole list of the deployment, which covers the configuration
-  /// up to `covers`; `zones` gives each availability zone's region.
+  /// Replaces the list of endpoints by the deployment's whole list, which
+  /// reflects the configuration up to revision `covers`. `zones` maps
+  /// availability zones to regions.
   void learn(const std::vector<surface::listed_endpoint>& listed,
              config::revision_number covers,
              const std::map<std::string, std::string>& zones);
-  /// The plan or the evacuated zones changed.
+  /// Applies a change of the traffic plan or of the evacuated zones.
   void refresh();
 
-  /// The endpoint for `request`, or why there is none now.
+  /// Returns the endpoint for `request`, or the reason why there is none.
   result<chosen_endpoint> choose(const routed_request& request) const;
 
-  /// What gateways of other regions are told of `service` here.
+  /// Returns the load of `service` as advertised to gateways of other regions.
   membership::service_load load_of(const std::string& service) const;
 
-  /// Takes in what an answer's head tells of the endpoint's load and warmth.
+  /// Records the load and warmth reported in the head of an answer.
   void observe(const std::string& endpoint,
                const surface::endpoint_answer& answer);
-  /// Another endpoint has its address.
+  /// Removes an endpoint whose address now belongs to another one.
   void vanished(const std::string& endpoint);
-  /// A request that was sent to `endpoint` was taken there, or rejected unrun.
+  /// Records whether `endpoint` accepted a request or rejected it without
+  /// running it.
   void note_taken(const std::string& endpoint);
   void note_rejected(const std::string& endpoint);
-  /// A request was sent there; a cold endpoint is sent few.
+  /// Records a request sent to `endpoint`, which limits the rate if it is cold.
   void note_sent(const std::string& endpoint);
 
   routing::engine_book& engines() { return engines_; }
@@ -59,40 +61,45 @@
   const std::vector<surface::listed_endpoint>& listed() const {
     return listed_;
   }
-  /// The services that have endpoints here.
+  /// Returns the services with endpoints in this region.
   std::vector<std::string> services() const;
-  /// Forgets old requests to cold endpoints.
+  /// Discards old records of requests to cold endpoints.
   void tick();
 
  private:
-  /// Whether `view` may be sent a request of `service` now.
+  /// Returns whether `view` may receive a request of `service` now.
   bool takes_requests(const membership::endpoint_view& view,
                       const config::planned_service* service) const;
-  /// Whether this gateway is one of the few that send to a cold endpoint.
+  /// Returns whether this gateway is one of the few that send to a cold
+  /// endpoint.
   bool is_cold_sender(const std::string& endpoint) const;
   const config::planned_service* planned(const std::string& service) const;
-  /// Takes in which zones were evacuated or given back since the last call.
+  /// Applies evacuations, and ends of evacuations, since the last call.
   void note_evacuations();
-  /// Whether `endpoint` is to get no more than a cold one bears.
+  /// Returns whether `endpoint` has to be limited to the request rate of a cold
+  /// endpoint.
   bool may_be_cold(const std::string& endpoint, const std::string& zone,
                    const config::planned_service* service,
                    monotonic_time now) const;
-  /// Among endpoints that run engines: the one that is worth most.
+  /// Selects the endpoint with the highest value among those that run inference
+  /// engines.
   std::optional<chosen_endpoint> choose_engine(
       const std::vector<membership::endpoint_view>& open,
       const routed_request& request,
       const config::engine_profile& engine) const;
-  /// Among endpoints without engines: by their load only.
+  /// Selects by load among endpoints without engines.
   std::optional<chosen_endpoint> choose_plain(
       const std::vector<membership::endpoint_view>& all) const;
   chosen_endpoint without_engine(const membership::endpoint_view& view) const;
-  /// Those of `open` that are about as likely as any to take a request.
+  /// Returns those of `open` whose acceptance probability is close to the
+  /// highest.
   std::vector<membership::endpoint_view> likely_of(
       const std::vector<membership::endpoint_view>& open) const;
-  /// Those of the own region that aren't dead; at least one.
+  /// Returns the number of gateways in the local region that are not known to
+  /// be dead; at least one.
   unsigned region_gateways() const;
 
-  /// Where an endpoint stands, and what for.
+  /// The zone and the service of an endpoint.
   struct place {
     std::string zone;
     std::string service;
@@ -100,7 +107,7 @@
 
   gateway_context& context_;
   endpoint_lives lives_;
-  std::vector<surface::listed_endpoint> listed_;  // of the own region
+  std::vector<surface::listed_endpoint> listed_;  // in the local region
   std::map<std::string, place> places_;           // by endpoint
   remote_caches remote_caches_;
   std::map<std::string, monotonic_time> observed_at_;
@@ -108,7 +115,7 @@
   routing::endpoint_warmth warmth_;
   routing::cold_limiter cold_;
   routing::acceptance acceptance_;   // by endpoint
-  std::set<std::string> evacuated_;  // zones, as last noted
+  std::set<std::string> evacuated_;  // zones, at the last update
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/endpoint_runner.h
+++ b/gateway/include/trestlepost/gateway/endpoint_runner.h
@@ -1,5 +1,5 @@
-// One attempt to run a routed request at one endpoint, and the way of its
-// answer back to the caller.
+// Runs one attempt of a routed request on one endpoint and passes its answer
+// back to the caller.
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 
 namespace trestlepost::gateway {
 
-/// Sends a request to an endpoint and passes its answer on.
+/// Sends a request to an endpoint and relays the answer.
 class endpoint_runner {
  public:
   endpoint_runner(gateway_context& context, const surface::surfaces& surfaces,
@@ -23,9 +23,9 @@
         pool_(pool),
         crashes_(crashes) {}
 
-  /// With `may_give_up` an endpoint that stays silent for much longer than
-  /// expected is left, so that another one can be tried. `events` is fresh, or
-  /// holds what was passed on of the stream that is to be continued.
+  /// With `may_give_up`, abandons an endpoint that sends nothing for much
+  /// longer than expected, so that another one can be tried. `events` is new,
+  /// or contains the state of the stream that is to be continued.
   transport::awaitable<attempt> run(routed_request& request,
                                     const chosen_endpoint& endpoint,
                                     bool may_give_up, event_scanner& events,
@@ -34,7 +34,7 @@
  private:
   struct running;
 
-  /// Writes the request and reads the head of its own answer.
+  /// Sends the request and reads the head of its answer.
   transport::awaitable<tl::expected<void, transport::call_failure>> send(
       running& now);
   /// Skips answers to earlier requests on the same connection.
@@ -42,21 +42,22 @@
   find_own_answer(running& now);
   attempt send_failed(const running& now,
                       const transport::call_failure& failure);
-  /// The end of the attempt when the endpoint refused the request.
+  /// Evaluates the head of the answer. Returns the result of the attempt if the
+  /// endpoint refused the request.
   std::optional<attempt> read_head(running& now);
   transport::awaitable<attempt> deliver(running& now);
   transport::awaitable<attempt> deliver_whole(running& now);
   transport::awaitable<attempt> deliver_stream(running& now);
-  /// A stream that can be continued: whole events only are passed on.
+  /// Relays a resumable stream, in complete events only.
   transport::awaitable<attempt> deliver_events(running& now);
-  /// False when the caller left.
+  /// Returns false if the caller disconnected.
   transport::awaitable<bool> pass_events(running& now, std::string text,
                                          bool ended);
-  /// The endpoint answered the rest of a stream with something else.
+  /// The endpoint answered a continuation with something other than a stream.
   attempt no_continuation(running& now);
-  /// The stream broke off, before or after its first event.
+  /// The stream was interrupted, before or after its first event.
   attempt events_broke(running& now, const error& cause);
-  /// The rest of a stream does not follow on what the caller has.
+  /// The continuation does not follow the events already sent to the caller.
   attempt wrong_continuation(running& now, stream_fault fault);
   attempt caller_left(running& now);
 
--- a/gateway/include/trestlepost/gateway/engine_weighing.h
+++ b/gateway/include/trestlepost/gateway/engine_weighing.h
@@ -1,5 +1,6 @@
-// What each endpoint of a service that runs engines offers a request: its
-// expected course there, and which parts of the prompt are read or copied.
+// Evaluates the endpoints of a service that runs inference engines for one
+// request: expected completion, and the prompt tokens that are processed or
+// copied from another endpoint's cache.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +18,22 @@
 
 namespace trestlepost::gateway {
 
-/// The expected course of `work` at `view`, which reads `tokens` for it; the
-/// wait for one of the engine's slots is included.
+/// Estimates the completion of `work` at `view` if the endpoint has to process
+/// `tokens` prompt tokens, including the wait for an engine slot.
 routing::outlook expected_at(const membership::endpoint_view& view,
                              const routing::engine_work& work,
                              std::uint32_t tokens,
                              const config::engine_profile& engine,
                              const routing::engine_book& engines);
 
-/// What one endpoint offers, and what it is compared by.
+/// An endpoint and the criteria it is compared by.
 struct weighed_endpoint {
   chosen_endpoint chosen;
   routing::engine_candidate candidate;
 };
 
-/// Weighs the endpoints that are open for one request. It refers to what it
-/// was made from, which must outlive it.
+/// Evaluates the available endpoints for one request. Keeps references to the
+/// constructor's arguments, which must outlive it.
 class engine_weighing {
  public:
   engine_weighing(const std::vector<membership::endpoint_view>& open,
@@ -41,11 +42,12 @@
                   const routing::engine_book& engines,
                   const remote_caches& remote);
 
-  /// What `view`, one of the open endpoints, offers.
+  /// Evaluates `view`, which must be one of the available endpoints.
   weighed_endpoint weigh(const membership::endpoint_view& view) const;
 
  private:
-  /// The open endpoint that lacks least of the shared sections.
+  /// Finds the available endpoint with the fewest uncached tokens in the shared
+  /// sections.
   void find_holder(const std::vector<membership::endpoint_view>& open);
 
   const routing::engine_work& work_;
@@ -53,10 +55,11 @@
   const routing::engine_book& engines_;
   const membership::endpoint_view* holder_ = nullptr;
   std::uint32_t holder_lacks_ = 0;
-  /// The one that all gateways prefer for a section that nobody has.
+  /// The endpoint all gateways prefer for a section that no endpoint is known
+  /// to have cached.
   const membership::endpoint_view* preferred_ = nullptr;
-  /// A likely holder in another region, when the own one lacks much; may be
-  /// empty.
+  /// An endpoint of another region that probably has the section cached, if
+  /// much of it is missing in this region; may be empty.
   std::string remote_address_;
 };
 
--- a/gateway/include/trestlepost/gateway/entry_handler.h
+++ b/gateway/include/trestlepost/gateway/entry_handler.h
@@ -1,4 +1,5 @@
-// The callers' interface: the entry directory, model calls, plain services.
+// The HTTP interface for callers: entry directory, model calls and calls of
+// plain services.
 #pragma once
 
 #include <memory>
@@ -24,13 +25,16 @@
       transport::http_exchange& exchange) override;
 
  private:
-  /// Entries, readiness, or that there is no such path.
+  /// Answers requests for the entry directory, readiness and health, and
+  /// reports unknown paths.
   transport::http_answer answer_about_node(
       const transport::http_exchange& exchange) const;
   transport::http_answer answer_entries(
       const transport::http_exchange& exchange,
       membership::entry_query query) const;
+  /// The state of this node as reported by the readiness and health paths.
   surface::node_report report(bool ready) const;
+  /// Handles one model or service call, from its head to its answer.
   transport::awaitable<void> answer_call(transport::http_exchange& exchange,
                                          own::call_target target);
   transport::awaitable<tl::expected<incoming_request, attempt>> read_request(
@@ -38,11 +42,15 @@
       const std::string& id);
   result<std::shared_ptr<const config::caller>> authenticate(
       const transport::http_exchange& exchange) const;
+  /// Checks before the body is read whether this region may receive it.
   result<void> check_early(const config::caller& caller,
                            const own::call_target& target,
                            const config::label_map& labels) const;
+  /// Checks whether the request may pass through this region.
   result<void> check_transit(const routing::placement& placed) const;
   error transit_error(const std::vector<std::string>& permitted) const;
+  /// Tries one region after another until an attempt succeeds or no further
+  /// one is permitted.
   transport::awaitable<attempt> run(const incoming_request& request,
                                     transport::http_exchange& exchange);
   bool may_retry(const incoming_request& request, const attempt& last,
--- a/gateway/include/trestlepost/gateway/event_scanner.h
+++ b/gateway/include/trestlepost/gateway/event_scanner.h
@@ -1,6 +1,6 @@
-// Finds the whole events of a text/event-stream that comes in pieces, so that
-// a stream that breaks off can be continued after the last event that was
-// passed on. Lines end with LF or CR LF.
+// Splits a text/event-stream that arrives in pieces into complete events, so
+// that an interrupted stream can be continued after the last event sent to the
+// caller. Lines end with LF or CR LF.
 #pragma once
 
 #include <cstddef>
@@ -11,71 +11,84 @@
 
 namespace trestlepost::gateway {
 
-/// Why a stream can't be continued, or is no continuation.
+/// Why a stream can't be continued, or is not a valid continuation.
 enum class stream_fault {
   none,
-  too_large,   // an event is larger than what is held back
-  unreadable,  // a line ends with CR alone
-  not_rising   // a continuation gives an event again, or begins without an id
+  /// An event exceeds the buffer limit.
+  too_large,
+  /// A line ends with CR alone.
+  unreadable,
+  /// A continuation repeats an event or starts with an event without an id.
+  not_rising
 };
 
 std::string_view to_string(stream_fault fault);
 
-/// What came of one piece.
+/// The result of scanning one piece.
 struct scanned_events {
-  /// What may be passed on now, as it came.
+  /// The bytes that may be sent to the caller now, unchanged.
   std::string passable;
   stream_fault fault = stream_fault::none;
 };
 
-/// Reads one answer, which several endpoints may give one after the other.
+/// Scans one answer, which several endpoints may provide in turn.
 class event_scanner {
  public:
-  /// Bytes of one event that are held back until its end arrives.
+  /// Bytes of one event that are buffered until it is complete.
   static constexpr std::size_t default_largest_event = 256UL * 1024;
 
   explicit event_scanner(std::size_t largest_event = default_largest_event)
       : largest_event_(largest_event) {}
 
-  /// Takes the next piece. After a fault of the first endpoint's stream all
-  /// of it is passed on as it comes, and it has no resume point any more; at
-  /// a fault of a continuation the transfer has to be broken off.
+  /// Scans the next piece. After a fault in the first endpoint's stream, all
+  /// bytes are passed through as they arrive and there is no resume point.
+  /// After a fault in a continuation, the transfer has to be aborted.
   scanned_events push(std::string piece);
 
-  /// The endpoint said that its stream ends here: what is held is passed on.
+  /// Handles the end of the stream as declared by the endpoint: the buffered
+  /// bytes are passed on.
   scanned_events finish();
 
-  /// The stream broke off: what is held is dropped, and what is pushed next
-  /// comes from another endpoint, which was told `resume_point`.
+  /// Handles an interruption of the stream: discards the buffered bytes. The
+  /// pieces that follow come from another endpoint, which was sent
+  /// `resume_point`.
   void continue_elsewhere();
 
-  /// Whether a continuation is being read.
+  /// Returns whether a continuation is being scanned.
   bool continued() const { return continued_; }
-  /// Whether a part of an event is held back, or a continuation has given no
-  /// event: an end that the endpoint did not tell is a break then.
+  /// Returns whether part of an event is buffered, or a continuation has not
+  /// delivered an event yet. If the connection closes in this state without a
+  /// declared end, the stream was interrupted.
   bool misses_something() const {
     return !held_.empty() || awaits_first_event_;
   }
-  /// The id of the last event that was passed on; empty when there is none or
-  /// it has no id, so that the stream can't be continued.
+  /// Returns the id of the last event passed on. It is empty if there is none
+  /// or the event has no id; the stream can't be continued then.
   const std::string& resume_point() const { return resume_point_; }
 
  private:
+  /// Appends `piece` to the buffer.
   void take_in(std::string piece);
+  /// Parses the line that ends at offset `end`.
   stream_fault take_line(std::size_t end);
   void take_field(std::string_view line);
+  /// Finishes the current event and checks its id.
   stream_fault end_event();
+  /// Checks the incomplete line at the end of the buffer, and that the event
+  /// that starts at `whole` does not exceed the buffer limit.
   stream_fault check_rest(std::size_t whole);
+  /// Removes the first `whole` bytes from the buffer and returns them.
   std::string cut_off(std::size_t whole);
+  /// Gives up scanning: passes on the buffer and everything that follows.
   void pass_all(scanned_events& out);
   void forget_event();
 
   std::size_t largest_event_;
   std::string held_;
-  std::size_t line_ = 0;             // where the current line begins
-  std::size_t searched_ = 0;         // up to here no line end is left
-  bool inside_event_ = false;        // since the last blank line something came
-  bool has_field_ = false;           // and it was more than comments
+  std::size_t line_ = 0;             // offset of the current line
+  std::size_t searched_ = 0;         // offset before which there is no line end
+  bool inside_event_ = false;        // the last line was not blank
+  bool has_field_ = false;           // the event has more than comments
   std::optional<std::uint64_t> id_;  // of the current event
   std::string id_text_;
   std::optional<std::uint64_t> last_id_;
--- a/gateway/include/trestlepost/gateway/forward_handler.h
+++ b/gateway/include/trestlepost/gateway/forward_handler.h
@@ -1,4 +1,4 @@
-// Takes requests that gateways of other regions forward.
+// Handles requests forwarded by gateways of other regions.
 #pragma once
 
 #include "trestlepost/gateway/context.h"
@@ -16,8 +16,11 @@
       transport::http_exchange& exchange) override;
 
  private:
+  /// Verifies the digest and the age of a forwarded request.
   result<forward_message> check(const transport::http_exchange& exchange,
                                 const std::string& body) const;
+  /// Resolves the caller and the service, and checks that this node can serve
+  /// the request with an up-to-date configuration.
   result<incoming_request> accept(const forward_message& message,
                                   std::string body) const;
 
--- a/gateway/include/trestlepost/gateway/forward_message.h
+++ b/gateway/include/trestlepost/gateway/forward_message.h
@@ -1,5 +1,6 @@
-// What one gateway sends to a gateway of another region. It is a type of its
-// own: what arrives as one can be served or refused, never sent on.
+// The message a gateway sends to a gateway of another region to forward a
+// request. A forwarded request has a separate type, so that its receiver serves
+// or refuses it and can't forward it again.
 #pragma once
 
 #include <set>
@@ -9,11 +10,11 @@
 
 namespace trestlepost::gateway {
 
-/// The target of forwarded requests on the peers' HTTP address.
+/// The target of forwarded requests on the address for peers.
 inline constexpr char forward_target[] = "/forward";
 inline constexpr char forward_header[] = "Trestlepost-Forward";
 inline constexpr char forward_digest_header[] = "Trestlepost-Forward-Digest";
-/// Marks a refusal of the other gateway, as opposed to an endpoint's answer.
+/// Marks a refusal by the other gateway, as opposed to an endpoint's answer.
 inline constexpr char refused_header[] = "Trestlepost-Refused";
 
 struct forward_message {
@@ -34,7 +35,8 @@
 json to_json(const forward_message& value);
 result<forward_message> forward_message_from(const std::string& text);
 
-/// Digest that proves that a peer wrote the head and the body.
+/// Returns a digest, keyed with the peers' secret, that proves that a peer
+/// created the head and the body.
 std::string forward_digest(const std::string& secret, const std::string& head,
                            const std::string& body);
 
--- a/gateway/include/trestlepost/gateway/forwarder.h
+++ b/gateway/include/trestlepost/gateway/forwarder.h
@@ -1,4 +1,4 @@
-// Sends a request to a gateway of another permitted region.
+// Forwards a request to a gateway of another permitted region.
 #pragma once
 
 #include <set>
@@ -21,6 +21,7 @@
                                       transport::http_exchange& exchange);
 
  private:
+  /// Returns a random gateway of `region`, or null if there is none.
   const membership::node_record* choose_gateway(const std::string& region);
 
   gateway_context& context_;
--- a/gateway/include/trestlepost/gateway/metrics.h
+++ b/gateway/include/trestlepost/gateway/metrics.h
@@ -1,4 +1,4 @@
-// The gateway's metrics, on prometheus-cpp.
+// The gateway's metrics, based on prometheus-cpp.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -16,21 +16,22 @@
  public:
   explicit gateway_metrics(prometheus::Registry& registry);
 
-  /// `outcome` is "answered" or the kind of the refusal.
+  /// `outcome` is "answered" or the error kind of the refusal.
   void request_done(const std::string& service, const std::string& outcome,
                     std::chrono::nanoseconds duration);
   void served_in(const std::string& service, const std::string& region);
   void first_piece(const std::string& service,
                    std::chrono::nanoseconds duration);
-  /// A request was written to an endpoint; `first`: it reached none before.
+  /// A request was written to an endpoint. `first`: it was not written to any
+  /// endpoint before.
   void sent(const std::string& service, bool first);
   void retried(const std::string& service);
-  /// A retry that would have been possible was not paid for by the budget.
+  /// The retry budget denied a retry that was otherwise possible.
   void retry_denied(const std::string& service);
-  /// A broken stream was continued at another endpoint.
+  /// An interrupted stream was continued at another endpoint.
   void resumed(const std::string& service, const std::string& outcome);
-  /// `n` runs broke off with their connections to one endpoint; `endpoint_is`
-  /// "crashed", "well" or "silent" when it was asked for a new one.
+  /// `n` runs lost their connections to one endpoint. `endpoint_is` is the
+  /// result of the probe: "crashed", "well" or "silent".
   void runs_broke(const std::string& service, const std::string& endpoint_is,
                   std::size_t n);
   void forwarded(const std::string& region);
--- a/gateway/include/trestlepost/gateway/preferred_endpoint.h
+++ b/gateway/include/trestlepost/gateway/preferred_endpoint.h
@@ -1,5 +1,5 @@
-// Which endpoint all gateways prefer for a part of a prompt, without telling
-// each other: the highest by rendezvous hash.
+// Selects the endpoint that all gateways prefer for a section of a prompt,
+// without communication, by rendezvous hashing.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +11,11 @@
 
 namespace trestlepost::gateway {
 
-/// The key under which gateways rank endpoints for a section.
+/// Returns the key by which gateways rank endpoints for a section.
 std::string section_key(const membership::prompt_section& section);
 
-/// The one of `all` that is preferred for `section`, or null when there are
-/// none. `name_of` gives an endpoint's id.
+/// Returns the element of `all` with the highest score for `section`, or null
+/// if `all` is empty. `name_of` returns an endpoint's id.
 template <typename T, typename NameOf>
 const T* preferred_for(const std::vector<T>& all,
                        const membership::prompt_section& section,
--- a/gateway/include/trestlepost/gateway/region_views.h
+++ b/gateway/include/trestlepost/gateway/region_views.h
@@ -1,4 +1,4 @@
-// What this gateway knows of every region for one service.
+// Summarizes what this gateway knows of every region for one service.
 #pragma once
 
 #include <set>
@@ -10,7 +10,8 @@
 
 namespace trestlepost::gateway {
 
-/// One view a region; regions in `exhausted` have refused the request.
+/// Returns one view per region, without the regions in `exhausted`, which
+/// refused the request.
 std::vector<routing::region_view> region_views(
     const gateway_context& context, const admission& own,
     const std::string& service, const std::set<std::string>& exhausted);
--- a/gateway/include/trestlepost/gateway/remote_caches.h
+++ b/gateway/include/trestlepost/gateway/remote_caches.h
@@ -1,4 +1,5 @@
-// Endpoints of other regions from whose caches prompt parts may be copied.
+// Selects an endpoint of another region as the source for copying cached parts
+// of a prompt.
 #pragma once
 
 #include <map>
@@ -10,7 +11,7 @@
 
 namespace trestlepost::gateway {
 
-/// The endpoints of other regions, as the deployment lists them.
+/// The endpoints of other regions, as listed by the deployment.
 class remote_caches {
  public:
   struct endpoint {
@@ -22,9 +23,10 @@
   void add(const std::string& service, const std::string& region,
            endpoint added);
 
-  /// The address of the endpoint that is most likely to have `section`: the
-  /// one that the gateways of the largest other region prefer for it. Only
-  /// regions count that `route` permits to cache its requests. Empty: none.
+  /// Returns the address of the endpoint most likely to have `section` cached,
+  /// or an empty string. It is the one preferred by the gateways of the region
+  /// with the most endpoints, among the regions in which `route` permits
+  /// caching.
   std::string likely_holder(const std::string& service,
                             const membership::prompt_section& section,
                             const config::route& route) const;
--- a/gateway/include/trestlepost/gateway/request.h
+++ b/gateway/include/trestlepost/gateway/request.h
@@ -1,4 +1,4 @@
-// A request as the gateway handles it.
+// A request of a caller, as handled inside the gateway.
 #pragma once
 
 #include <memory>
@@ -10,9 +10,9 @@
 
 namespace trestlepost::gateway {
 
-/// A caller's request, checked and complete.
+/// A validated request with its whole body.
 struct incoming_request {
-  /// With a sound id; its target is the path at the endpoint.
+  /// The head with a valid request id. Its target is the path at the endpoint.
   surface::call_head head;
   std::shared_ptr<const config::caller> caller;
   std::shared_ptr<const config::service> service;
@@ -22,14 +22,15 @@
   std::string idempotency_key;
   int priority = 0;
   monotonic_time deadline;
-  std::uint64_t affinity = 0;  // hash of the prompt's prefix; 0: none
+  std::uint64_t affinity = 0;  // hash of the prompt's prefix; 0 if none
 
-  /// Must the ledger grant it before its first byte goes out?
+  /// Returns whether the ledger must grant the request before its first byte is
+  /// sent.
   bool runs_once() const { return !repeatable && !idempotency_key.empty(); }
 };
 
-/// Digest of what would run, to tell a resend from another request under the
-/// same key.
+/// Returns a digest of the request's content. It distinguishes a retry from a
+/// different request with the same idempotency key.
 std::string request_digest(const incoming_request& request);
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/request_fingerprint.h
+++ b/gateway/include/trestlepost/gateway/request_fingerprint.h
@@ -1,4 +1,5 @@
-// Recognises a request that comes again, with another id and at any gateway.
+// Fingerprints that identify a request when it is sent again, under another
+// request id or through another gateway.
 #pragma once
 
 #include <string>
@@ -6,10 +7,10 @@
 
 namespace trestlepost::gateway {
 
-/// What makes two requests the same one. Headers that change between the tries
-/// of a caller (ids, deadlines, the last event) are not part of it.
+/// The parts of a request that identify it. Headers that differ between a
+/// caller's retries (ids, deadlines, the last event) are excluded.
 struct request_identity {
-  /// Who asks: the caller's name, or the credentials that came along.
+  /// The caller's name, or the credentials of the request.
   std::string_view caller;
   std::string_view method;
   std::string_view host;
@@ -17,9 +18,9 @@
   std::string_view body;
 };
 
-/// A digest of `request` in hexadecimal, keyed with the peers' secret: who does
-/// not hold the secret learns nothing from it, and can't tell whether a
-/// content that he guesses was asked for.
+/// Returns a digest of `request` in hexadecimal, keyed with the peers' secret.
+/// Without the secret, a fingerprint neither reveals the content of the request
+/// nor confirms a guess of it.
 std::string fingerprint_of(const request_identity& request,
                            std::string_view secret);
 
--- a/gateway/include/trestlepost/gateway/retry_after.h
+++ b/gateway/include/trestlepost/gateway/retry_after.h
@@ -1,24 +1,25 @@
-// When callers of refused requests are told to come back: about when the
-// cause of the refusal is over.
+// Retry-After times for refused requests, by cause. Each is about the time
+// until the cause is resolved.
 #pragma once
 
 #include <chrono>
 
 namespace trestlepost::gateway {
 
-/// A node that started learns its plan in about a second: measured 0.4 to
-/// 1.3 s after losses of power.
+/// The node has not received a traffic plan yet. Nodes receive it about one
+/// second after they start: 0.4 to 1.3 s were measured after power losses.
 inline constexpr std::chrono::milliseconds after_no_plan{1000};
 
-/// No endpoint or region that may serve is open: cuts, evacuations and lost
-/// regions last for seconds. Callers wait at most a third of their time.
+/// No permitted endpoint or region is available. Network partitions,
+/// evacuations and region failures last for seconds. Callers wait for at most a
+/// third of their remaining time.
 inline constexpr std::chrono::milliseconds after_none_open{2000};
 
-/// Another node can serve at once.
+/// Another node can serve the request immediately.
 inline constexpr std::chrono::milliseconds after_wrong_node{300};
 
-/// The request is held back until an operator releases it or the caller changes
-/// it: to come back soon is in vain.
+/// The request is held until an operator releases it or the caller changes it,
+/// so an early retry is useless.
 inline constexpr std::chrono::milliseconds after_held{300'000};
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/route_forward_handler.h
+++ b/gateway/include/trestlepost/gateway/route_forward_handler.h
@@ -1,5 +1,5 @@
-// Takes routed requests that gateways of other regions forward, and hands
-// every other forwarded request to the handler behind it.
+// Handles routed requests forwarded by gateways of other regions, and passes
+// all other forwarded requests to the next handler.
 #pragma once
 
 #include "trestlepost/gateway/forward_handler.h"
@@ -23,8 +23,10 @@
       transport::http_exchange& exchange) override;
 
  private:
+  /// Verifies and parses the message at the front of `body` and removes it.
   result<route_message> read_message(const transport::http_exchange& exchange,
                                      std::string& body) const;
+  /// Finds the route of the request and checks that this node may serve it.
   result<routed_request> accept(route_message message, std::string body) const;
 
   gateway_context& context_;
--- a/gateway/include/trestlepost/gateway/route_forwarder.h
+++ b/gateway/include/trestlepost/gateway/route_forwarder.h
@@ -1,4 +1,4 @@
-// Sends a routed request to a gateway of another permitted region.
+// Forwards a routed request to a gateway of another permitted region.
 #pragma once
 
 #include <map>
@@ -22,23 +22,27 @@
                                       const std::string& region,
                                       transport::http_exchange& exchange);
 
-  /// The chance that endpoints of `region` take a request of `service`, by the
-  /// last answers to this gateway.
+  /// Returns the probability that the endpoints of `region` accept a request of
+  /// `service`, based on recent answers to this gateway.
   double chance(const std::string& region, const std::string& service) const;
 
-  /// Prompt tokens sent to `region` whose answer has not begun yet.
+  /// Returns the prompt tokens of requests sent to `region` whose answer has
+  /// not started yet.
   std::uint32_t unanswered_tokens(const std::string& region) const;
 
  private:
+  /// Returns the less loaded of two random gateways, or null if there is none.
   const membership::node_record* choose_gateway(const std::string& region,
                                                 const std::string& service);
   transport::http_request make_request(const routed_request& request) const;
+  /// Relays the answer of the other gateway to the caller.
   transport::awaitable<attempt> pass_back(const routed_request& request,
                                           transport::http_call& call,
                                           transport::http_exchange& exchange);
 
   gateway_context& context_;
   const surface::surfaces& surfaces_;
+  /// Records whether the endpoints of `region` accepted the request.
   void note_acceptance(const std::string& region, const std::string& service,
                        const attempt& outcome);
 
--- a/gateway/include/trestlepost/gateway/route_handler.h
+++ b/gateway/include/trestlepost/gateway/route_handler.h
@@ -1,4 +1,4 @@
-// Answers callers whose requests the traffic plan routes.
+// Handles callers' requests that are routed by the traffic plan.
 #pragma once
 
 #include <set>
@@ -23,26 +23,31 @@
   transport::awaitable<void> handle(
       transport::http_exchange& exchange) override;
 
-  /// From now on new requests are refused; those in progress end.
+  /// Refuses new requests from now on. Requests in progress are completed.
   void stop_taking() { taking_ = false; }
 
  private:
+  /// Assigns the request to a route and a service.
   result<routed_request> route(surface::call_head head, std::string body,
                                monotonic_time arrived) const;
-  /// Waits a moment for what a node that has just started still lacks; false
-  /// at once when nothing is to be waited for any more.
+  /// Waits briefly for state that a recently started node has not received yet.
+  /// Returns false immediately if there is no reason to wait.
   transport::awaitable<bool> wait_to_learn(monotonic_time arrived,
                                            transport::http_exchange& exchange);
+  /// Tries one region after another until an attempt succeeds or no further
+  /// one is permitted.
   transport::awaitable<attempt> run(routed_request& request,
                                     transport::http_exchange& exchange);
-  /// Whether another region may be tried after `last`.
+  /// Returns whether another region may be tried after `last`.
   bool may_go_elsewhere(routed_request& request, const attempt& last) const;
+  /// Handles a request whose head and body were read.
   transport::awaitable<void> answer(surface::call_head head, std::string body,
                                     monotonic_time arrived,
                                     transport::http_exchange& exchange);
   transport::awaitable<void> refuse(const attempt& outcome,
                                     const std::string& request_id,
                                     transport::http_exchange& exchange);
+  /// Counts and logs the outcome of a request.
   void record(const routed_request& request, const attempt& outcome);
 
   gateway_context& context_;
--- a/gateway/include/trestlepost/gateway/route_message.h
+++ b/gateway/include/trestlepost/gateway/route_message.h
@@ -1,6 +1,6 @@
-// What one gateway sends to a gateway of another region for a routed request.
-// It is a type of its own: what arrives as one can be served or refused,
-// never sent on.
+// The message a gateway sends to a gateway of another region to forward a
+// routed request. A forwarded request has a separate type, so that its receiver
+// serves or refuses it and can't forward it again.
 #pragma once
 
 #include <chrono>
@@ -12,10 +12,10 @@
 
 namespace trestlepost::gateway {
 
-/// The target of forwarded routed requests on the peers' HTTP address. The
-/// body holds the message as JSON and then the caller's body.
+/// The target of forwarded routed requests on the address for peers. The body
+/// consists of the message as JSON followed by the caller's body.
 inline constexpr char route_target[] = "/forward-route";
-/// How many bytes of the body are the message.
+/// The size of the message within the body, in bytes.
 inline constexpr char message_size_header[] = "Trestlepost-Message-Size";
 
 struct route_message {
@@ -25,7 +25,7 @@
   std::chrono::milliseconds remaining{0};  // until the deadline
   std::set<std::string> avoid;             // endpoints
   unsigned sends = 0;                      // endpoints that were tried
-  config::plan_number plan = 0;            // by which the sender routed
+  config::plan_number plan = 0;            // the plan used by the sender
 };
 
 json to_json(const route_message& value);
--- a/gateway/include/trestlepost/gateway/route_regions.h
+++ b/gateway/include/trestlepost/gateway/route_regions.h
@@ -1,4 +1,4 @@
-// Which permitted region serves a routed request now.
+// Selects the permitted region that serves a routed request.
 #pragma once
 
 #include <optional>
@@ -10,16 +10,16 @@
 
 namespace trestlepost::gateway {
 
-/// The region that serves a request, and its endpoint if it is the own one.
+/// The region selected for a request and, for the local region, the endpoint.
 struct region_decision {
   std::string region;
-  /// In the own region, the endpoint that was weighed.
+  /// The evaluated endpoint, set for the local region only.
   std::optional<chosen_endpoint> endpoint;
 };
 
-/// A permitted region for `request`, nothing when none can serve it now: the
-/// own one, or with a chance that grows with the gain another one in which it
-/// is worth more. `exhausted` regions are left out.
+/// Returns a permitted region for `request`, or nothing if none can serve it
+/// now. It is the local region, or another one with a probability that grows
+/// with the gain in value. Regions in `exhausted` are excluded.
 std::optional<region_decision> choose_region(
     const gateway_context& context, const endpoint_pool& own,
     const route_forwarder& remote, const routed_request& request,
--- a/gateway/include/trestlepost/gateway/route_service.h
+++ b/gateway/include/trestlepost/gateway/route_service.h
@@ -1,5 +1,5 @@
-// Serves routed requests on endpoints of the own region, or refuses. It knows
-// no other region: nothing that comes through here can travel on.
+// Serves routed requests on endpoints of the local region or refuses them. It
+// never forwards, so a request from another region can't be forwarded again.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,8 @@
 
 namespace trestlepost::gateway {
 
-/// Chooses endpoints, retries within the budget, and continues streams.
+/// Selects endpoints, retries within the retry budget, and continues
+/// interrupted streams.
 class route_service {
  public:
   route_service(gateway_context& context, const surface::surfaces& surfaces,
@@ -24,58 +25,65 @@
         runner_(context, surfaces, pool, crashes_),
         retry_limits_(retries) {}
 
-  /// Runs `request` at one endpoint after the other, as its route allows;
-  /// first at `first`, where it was chosen already. The first send is paid for.
+  /// Runs `request` on one endpoint after another, as permitted by its route,
+  /// starting with `first` if one is already selected. The caller has reserved
+  /// the first send.
   transport::awaitable<attempt> serve(
       routed_request& request, const std::optional<chosen_endpoint>& first,
       transport::http_exchange& exchange);
 
-  /// A caller of this gateway sent a request for `service`, which pays for a
-  /// share of a retry. Gateways that serve it for this one do not count it.
+  /// Records that a caller of this gateway sent a request for `service`, which
+  /// adds a fraction of a retry to the budget. A gateway that serves the
+  /// request on behalf of this one does not record it.
   void request_seen(const std::string& service);
 
-  /// Whether `request` may be sent to an endpoint, in whatever region: the
-  /// first time is free, the others are taken out of the budget.
+  /// Reserves one send of `request` to an endpoint in any region. The first
+  /// send is free; the others are charged to the retry budget. Returns false if
+  /// the budget is exhausted.
   bool pay_for_send(routed_request& request);
-  /// `request` has ended: what was paid for and not sent goes back.
+  /// Returns the reserved but unused sends of `request` to the budget when it
+  /// has ended.
   void end_sends(routed_request& request);
 
-  /// `request`, which ended at `last`, is tried once more in `region`.
+  /// Records that `request` is retried in `region` after the attempt `last`.
   void note_retry(const routed_request& request, const attempt& last,
                   const std::string& region);
 
-  /// The refusal of `request` when it is held back, since endpoints crash of
-  /// it. Whatever sends it, to an endpoint or to another region, asks first.
+  /// Returns the refusal for `request` if it is held because endpoints crash
+  /// when they run it. Must be checked before every send, to an endpoint or to
+  /// another region.
   std::optional<attempt> held(routed_request& request) const;
-  /// Whether a try of `request` ends after `last`, since an endpoint crashed
-  /// under it, and others did before.
+  /// Returns whether `request` must not be retried after `last`, since an
+  /// endpoint may have crashed under it and it is already suspected of earlier
+  /// crashes.
   bool spends_no_more(routed_request& request, const attempt& last) const;
 
   endpoint_pool& pool() { return pool_; }
-  /// Fits this gateway's share of the retries to the gateways there are.
+  /// Adjusts this gateway's share of the retries to the number of known
+  /// gateways.
   void tick();
 
  private:
   routing::retry_budget& retries_of(const std::string& service);
-  /// Those of all regions, also those that are not heard.
+  /// Returns the number of gateways in all regions, including unreachable ones.
   std::size_t known_gateways() const;
-  /// The endpoint that is to be tried next, or how the request ends if none
-  /// was tried before.
+  /// Returns the next endpoint to try, or the result of the request if none was
+  /// tried before.
   tl::expected<chosen_endpoint, attempt> choose(
       const routed_request& request) const;
-  /// `chosen`, unless the request would wait too long there, or puts off the
-  /// answers written there by more than it is worth.
+  /// Returns `chosen`, or a refusal if the request would wait too long there or
+  /// would delay the endpoint's other answers by more than its own value.
   tl::expected<chosen_endpoint, attempt> worth_running(
       const routed_request& request, const chosen_endpoint& chosen) const;
-  /// Whether another endpoint of this region may be tried.
+  /// Returns whether another endpoint of this region may be tried.
   bool may_retry(routed_request& request, const attempt& last,
                  unsigned unsent) const;
-  /// Continues a stream that broke off at other endpoints, or breaks off its
-  /// answer.
+  /// Continues an interrupted stream at other endpoints, or aborts the answer.
   transport::awaitable<attempt> resume(routed_request& request, attempt broken,
                                        event_scanner& events,
                                        transport::http_exchange& exchange);
-  /// The endpoint for the rest of the stream, or why it is not continued.
+  /// Returns the endpoint for the rest of the stream, or the reason why it is
+  /// not continued.
   result<chosen_endpoint> next_for_rest(routed_request& request,
                                         const event_scanner& events,
                                         unsigned unsent);
--- a/gateway/include/trestlepost/gateway/routed_request.h
+++ b/gateway/include/trestlepost/gateway/routed_request.h
@@ -1,4 +1,4 @@
-// A request that a route of the traffic plan sends to a service.
+// A request assigned to a service by a route of the traffic plan.
 #pragma once
 
 #include <set>
@@ -14,39 +14,40 @@
 
 namespace trestlepost::gateway {
 
-/// The request, its route, and what was tried for it so far.
+/// The request, its route, and the attempts made so far.
 struct routed_request {
   surface::call_head head;
   std::string body;
-  config::plan_ptr plan;  // keeps `route` alive
+  config::plan_ptr plan;  // owns the object behind `route`
   const config::route* route = nullptr;
   std::string service;
   routing::engine_work work;
   monotonic_time arrived;
-  /// When nobody waits any more: the caller's patience or the route's
-  /// timeout, whichever ends first.
+  /// The earlier of the caller's deadline and the route's timeout.
   monotonic_time deadline;
-  /// Endpoints that this request has been sent to or that refused it.
+  /// Endpoints that the request was sent to or that refused it.
   std::set<std::string> avoid;
   routing::paid_sends sends;
 
-  /// What recognises the request when it comes again; see
-  /// `request_fingerprint.h`. Made when it is first asked for.
+  /// Returns the request's fingerprint (see `request_fingerprint.h`), computed
+  /// on first use.
   const std::string& fingerprint(std::string_view secret);
 
  private:
   std::string fingerprint_;
 };
 
-/// What `head` costs an engine.
+/// Returns the work of an engine for a request with `head`.
 routing::engine_work work_of(const surface::call_head& head,
                              const config::route& route);
 
-/// What its caller and its route expect of an answer that begins at `now`.
+/// Returns the latency objective and the remaining time for an answer that
+/// starts at `now`.
 routing::expectation expectation_of(const routed_request& request,
                                     monotonic_time now);
 
-/// Whether the route lets `region` serve, cache and store its requests.
+/// Returns whether `route` permits `region` to serve, cache and store its
+/// requests.
 bool permits_region(const config::route& route, const std::string& region);
 
 }  // namespace trestlepost::gateway
--- a/gateway/src/admission.cc
+++ b/gateway/src/admission.cc
@@ -13,15 +13,16 @@
 using std::chrono::milliseconds;
 using transport::awaitable;
 
-// Weight of the newest duration in the mean.
+// Weight of the newest duration in the moving average.
 constexpr double newest_weight = 0.05;
-// Share of the mean duration that must still fit before the deadline.
+// Fraction of the mean duration that must remain before the deadline when a
+// request leaves the queue.
 constexpr double share_that_must_fit = 0.8;
 constexpr milliseconds longest_estimate{600'000};
 
 error unavailable_error(const std::string& service, const std::string& region) {
   return {error_kind::unavailable,
-          "no endpoint of " + service + " in " + region + " takes requests",
+          "no endpoint of " + service + " in " + region + " accepts requests",
           "send it again after Retry-After; `trestlepost status` shows the "
           "endpoints"};
 }
@@ -43,7 +44,7 @@
   if (release_) release_();
 }
 
-/// One request in the queue.
+/// A queued request.
 struct admission::slot {
   explicit slot(transport::asio::io_context& io) : wake(io) {
     wake.expires_at(monotonic_time::max());
@@ -128,7 +129,8 @@
 }
 
 attempt admission::overload(milliseconds wait) const {
-  // Jitter, so that those refused together do not come back together.
+  // The jitter keeps callers refused at the same time from returning at the
+  // same time.
   const std::int64_t seconds = 1 + wait.count() / 1000;
   const std::uint64_t jitter =
       context_.random.below(static_cast<std::uint64_t>(seconds) + 1);
@@ -156,12 +158,12 @@
     end_wait(queue, id,
              failed_attempt(run_state::no,
                             {error_kind::deadline,
-                             "the deadline passed while the request waited",
+                             "the deadline passed while the request was queued",
                              "send it again with a later deadline"},
                             std::chrono::seconds(1)));
   }
   while (queue.queue.size() > 0) {
-    // Whether anything is free does not depend on who is next.
+    // Whether any endpoint has capacity does not depend on the next request.
     if (!choose(service, 0, {})) break;
     const std::optional<std::uint64_t> id = queue.queue.pop();
     const auto it = queue.slots.find(*id);
@@ -218,8 +220,8 @@
     service_queue& left = queue_of(service);
     left.queue.remove(id);
     end_wait(left, id,
-             failed_attempt(run_state::no,
-                            {error_kind::bad_input, "the caller left", ""}));
+             failed_attempt(run_state::no, {error_kind::bad_input,
+                                            "the caller disconnected", ""}));
   });
   context_.metrics.queue_length(service, queue.queue.size());
   while (!own->lease && !own->refusal) {
--- a/gateway/src/answer_passing.cc
+++ b/gateway/src/answer_passing.cc
@@ -29,7 +29,7 @@
     open = co_await exchange.write_piece(std::move(text));
     if (!open) break;
     piece = co_await call.read_piece();
-    // The call is cancelled when the caller leaves.
+    // A call is cancelled when the caller disconnects.
     open = !exchange.gone();
     if (!open) break;
     if (!piece) {
--- a/gateway/src/answer_passing.h
+++ b/gateway/src/answer_passing.h
@@ -1,4 +1,5 @@
-// How the answer to a routed request is passed on from where it was sent to.
+// Relays the answer to a request from an endpoint or another gateway to the
+// caller.
 #pragma once
 
 #include <functional>
@@ -10,25 +11,25 @@
 
 namespace trestlepost::gateway {
 
-/// A plain answer is read whole before any of it is sent, so that one that is
-/// cut short can still be replaced.
+/// Non-streamed answers are buffered completely before they are sent, so that a
+/// truncated one can be replaced.
 inline constexpr std::size_t largest_plain_answer = 16UL * 1024 * 1024;
 
-/// The answer of `call` without its body.
+/// Returns the answer of `call` without its body.
 transport::http_answer answer_head(const transport::http_call& call,
                                    const surface::endpoint_codec& codec);
 
-/// How a stream that was passed on ended; with neither it came whole, and the
-/// exchange is still to be finished.
+/// How a relayed stream ended. If neither member is set, it is complete and the
+/// exchange still has to be finished.
 struct passed_stream {
   bool caller_left = false;
-  /// Why the call broke off.
+  /// Why the call was interrupted.
   std::optional<error> broken;
 };
 
-/// Sends `head`, `first` and what follows it, piece by piece; `on_next` is
-/// called at each piece after the first. When the caller leaves the call is
-/// cancelled, and when the call breaks off the exchange is aborted.
+/// Sends `head`, then `first` and the rest of the stream piece by piece. Calls
+/// `on_next` at each piece after the first. Cancels the call if the caller
+/// disconnects, and aborts the exchange if the call is interrupted.
 transport::awaitable<passed_stream> pass_stream(
     transport::http_call& call, transport::http_exchange& exchange,
     transport::http_answer head, std::string first,
--- a/gateway/src/crash_watch.cc
+++ b/gateway/src/crash_watch.cc
@@ -16,20 +16,21 @@
 using std::chrono::milliseconds;
 using transport::connect_outcome;
 
-// A process that ends closes its connections one by one, its listening port
-// perhaps last; runs that break in this time are judged together.
+// An exiting process closes its connections one by one, and its listening
+// socket possibly last. The probe waits this long, and interruptions within
+// this time are evaluated together.
 constexpr milliseconds time_to_end{20};
 
-// How long the end of a request that ran where an endpoint crashed is watched
-// for, and for how many requests.
+// How long, and for how many requests, the completion of a request involved in
+// a crash is monitored.
 constexpr std::chrono::minutes watch_time{10};
 constexpr std::size_t most_watched = 4096;
-// A gateway holds a request back by itself for so long; by then the
-// configuration does, unless the control nodes have lost their majority.
+// How long a gateway holds a request on its own decision. The configuration
+// lists the request by then, unless the control nodes have lost their majority.
 constexpr std::chrono::seconds own_hold_time{60};
 
-// Walking through thousands of requests in each tick would cost a small VM more
-// than the exact second is worth.
+// Expired entries are removed at this interval, since scanning thousands of
+// them in each tick costs too much CPU time on a small VM.
 constexpr std::chrono::seconds cleaning_interval{1};
 
 using times_by_fingerprint = std::map<std::string, monotonic_time>;
@@ -87,7 +88,7 @@
       std::move(broken_at_.extract(at.endpoint).mapped());
   const std::string outcome(name_of(found));
   context_.metrics.runs_broke(at.service, outcome, broken.size());
-  log_event(log_level::info, "runs-broke",
+  log_event(log_level::info, "endpoint-runs-interrupted",
             {{"endpoint", at.endpoint},
              {"service", at.service},
              {"runs", std::to_string(broken.size())},
@@ -155,10 +156,10 @@
 }
 
 void crash_watch::hold_here(const std::string& fingerprint) {
-  // What the configuration holds, an operator releases.
+  // Already held by the configuration; only an operator may release it.
   if (context_.store.held_requests().contains(fingerprint)) return;
   watch(held_here_, fingerprint, context_.clock.now() + own_hold_time);
-  log_event(log_level::info, "request-held-here",
+  log_event(log_level::info, "request-held-locally",
             {{"fingerprint", fingerprint}});
 }
 
@@ -172,7 +173,8 @@
 
 void crash_watch::note_released() {
   const config::hold_changes changes = holds_.update(context_.store);
-  // From now on a release is an operator's.
+  // The configuration holds them now; from here on only an operator releases
+  // them.
   for (const std::string& it : changes.held) held_here_.erase(it);
   for (const std::string& it : changes.released) {
     blame_.forget(it);
--- a/gateway/src/delivery.cc
+++ b/gateway/src/delivery.cc
@@ -16,12 +16,13 @@
 using transport::http_call;
 using transport::http_exchange;
 
-// Plain answers up to this size are read whole before they are sent.
+// Non-streamed answers up to this size are buffered completely before they are
+// sent.
 constexpr std::size_t buffered_answer = 1024UL * 1024;
 constexpr std::string_view event_stream = "text/event-stream";
 
 http_answer head_of(const http_call& call, header_list headers) {
-  // Only `not_run` depends on the service.
+  // Only `not_run` depends on the service's setting, and it is not used here.
   const own::endpoint_codec codec(false);
   http_answer out = answer_head(call, codec);
   std::move(headers.begin(), headers.end(), std::back_inserter(out.headers));
--- a/gateway/src/endpoint_lives.cc
+++ b/gateway/src/endpoint_lives.cc
@@ -7,8 +7,8 @@
 
 using surface::listed_endpoint;
 
-// A life is remembered for so long after its last listing: no list that names
-// an older one comes later.
+// How long an incarnation is remembered after its last listing. No list is
+// delayed by more than this.
 constexpr std::chrono::seconds life_memory{60};
 
 }  // namespace
@@ -23,7 +23,7 @@
         newest_.try_emplace(it.identity.id, life{it.identity.born, now});
     if (it.identity.born < known->second.born) continue;
     if (it.identity.born > known->second.born) {
-      log_event(log_level::info, "endpoint-started-again",
+      log_event(log_level::info, "endpoint-restarted",
                 {{"endpoint", it.identity.name()}});
     }
     known->second = {it.identity.born, now};
@@ -34,7 +34,7 @@
     const std::vector<listed_endpoint>& listed, monotonic_time now) {
   note(listed, now);
   std::vector<listed_endpoint> out;
-  std::map<std::string, std::size_t> places;  // in `out`, by id
+  std::map<std::string, std::size_t> places;  // index in `out`, by id
   for (const listed_endpoint& it : listed) {
     if (it.identity.born < newest_.at(it.identity.id).born) continue;
     const auto [place, first] = places.try_emplace(it.identity.id, out.size());
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -17,18 +17,19 @@
 using membership::endpoint_view;
 using std::chrono::milliseconds;
 
-// Loads that answers report are taken in this often for one endpoint: the
-// limits were made for reports of about this rate.
+// Minimum interval between load reports that are recorded for one endpoint. The
+// adaptive limits are designed for about this rate.
 constexpr milliseconds report_interval{250};
-// Endpoints queue a little; above this many times its limit one is not sent
-// more, and the request is refused.
+// Endpoints queue a few requests themselves. An endpoint whose load exceeds its
+// limit by this factor receives no more requests.
 constexpr double most_over_limit = 3;
-// The priority for which waits are told: all that waits counts.
+// The priority for which advertised waits are computed. All queued requests
+// precede it.
 constexpr int least_urgent = 9;
-// Endpoints without engines are compared by their load among those whose
-// chance to take a request is at least this share of the best one's.
+// Among endpoints without engines, load decides between those whose acceptance
+// probability is at least this fraction of the highest.
 constexpr double least_share_of_best = 0.6;
-// What is kept of past cold requests.
+// How long requests to cold endpoints are remembered.
 constexpr std::chrono::seconds cold_memory{30};
 
 }  // namespace
@@ -65,12 +66,13 @@
     log_event(log_level::info, "zone-evacuated", {{"zone", it}});
   }
   evacuated_ = evacuated;
-  // Not from `evacuated_`: a node that was cut off or stood still may get both
-  // changes of an evacuation at once.
+  // Ends of evacuations don't depend on `evacuated_`: a node that was
+  // partitioned or stalled may receive the start and the end of an evacuation
+  // at once.
   for (const auto& [zone, revision] : context_.store.given_back()) {
     const bool news = warmth_.given_back(zone, revision, context_.clock.now());
     if (!news) continue;
-    log_event(log_level::info, "zone-given-back", {{"zone", zone}});
+    log_event(log_level::info, "zone-evacuation-ended", {{"zone", zone}});
   }
 }
 
@@ -115,13 +117,13 @@
 
 bool endpoint_pool::is_cold_sender(const std::string& endpoint) const {
   const monotonic_time now = context_.clock.now();
-  // One that has just started hears few of the others yet, and what it sent
-  // in its former life is not known.
+  // A node that has just started has received heartbeats from few of the other
+  // gateways, and does not know what its previous incarnation sent.
   if (context_.state.is_learning(now)) return false;
   const std::uint64_t own = rendezvous_score(endpoint, context_.self.name);
   std::size_t better = 0;
-  // Those that are not heard count too, or while many stand still more of the
-  // rest take themselves for one of the few.
+  // Unreachable gateways are included. Otherwise, while many gateways stall,
+  // too many of the rest would consider themselves one of the few senders.
   for (const membership::node_record* it :
        context_.nodes.possible_gateways(context_.self, now)) {
     if (rendezvous_score(endpoint, it->last.node.name) > own) ++better;
@@ -230,7 +232,7 @@
   if (open.empty()) {
     return fail(error_kind::unavailable,
                 "no endpoint of " + request.service + " in " +
-                    context_.self.region + " takes requests",
+                    context_.self.region + " accepts requests",
                 "send it again after Retry-After");
   }
   const bool engine = service != nullptr && service->engine.has_value();
@@ -264,7 +266,8 @@
     wait += expected_at(it, probe, 0, *known->engine, engines_).wait;
     interval += engines_.event_interval(it.name);
   }
-  // The mean, not the least: many gateways act on it before the next one.
+  // The mean rather than the minimum, since many gateways act on this value
+  // before the next one arrives.
   if (out.endpoints > 0) {
     out.wait = wait / out.endpoints;
     out.event_interval = interval / out.endpoints;
--- a/gateway/src/endpoint_runner.cc
+++ b/gateway/src/endpoint_runner.cc
@@ -14,14 +14,14 @@
 using transport::http_answer;
 
 // Answers to earlier requests that are skipped on a connection before it is
-// given up.
+// abandoned.
 constexpr int most_surplus_answers = 2;
-// A request that was refused unrun may come back this soon.
+// Retry-After of a request that was rejected without running.
 constexpr milliseconds refused_retry_after{200};
-// An endpoint that is silent for this many times the expected time, and for
-// the route's whole objective, is taken for hung.
+// An endpoint is considered hung if it sends nothing for this multiple of the
+// expected time and for the route's latency objective.
 constexpr int silent_times = 3;
-// HTTP statuses.
+// HTTP status codes.
 constexpr unsigned ok_status = 200;
 constexpr unsigned first_server_error = 500;
 
@@ -33,14 +33,16 @@
                   silent_times * expected.first_token);
 }
 
-/// A run that may be repeated as a whole.
+/// Returns the result of an interrupted run that may be repeated from the
+/// start.
 attempt broken_run(const error& cause) {
   attempt out = failed_attempt(run_state::unknown, cause, refused_retry_after);
   out.connection_lost = is_broken(cause);
   return out;
 }
 
-/// Whether the answer's end can be told from a connection that was closed.
+/// Returns whether the end of the answer can be distinguished from a closed
+/// connection.
 bool has_told_end(const transport::http_call& call) {
   return !call.header("Transfer-Encoding").empty() ||
          !call.header("Content-Length").empty();
@@ -48,7 +50,7 @@
 
 }  // namespace
 
-/// What belongs to one attempt.
+/// The state of one attempt.
 struct endpoint_runner::running {
   const routed_request& request;
   const chosen_endpoint& endpoint;
@@ -57,7 +59,7 @@
   std::shared_ptr<transport::http_call> call;
   routing::engine_book::ticket ticket = 0;
   monotonic_time started{};
-  /// When the head of the answer must be there.
+  /// Deadline for the head of the answer.
   monotonic_time answer_by{};
   surface::endpoint_answer answer{};
 };
@@ -152,7 +154,7 @@
       now.call->cancel();
       transport::call_failure crossed;
       crossed.cause = {error_kind::endpoint_failed,
-                       "the endpoint answered other requests only",
+                       "the endpoint sent only answers to other requests",
                        "check the endpoint " + now.endpoint.name};
       crossed.bytes_written = true;
       co_return tl::make_unexpected(std::move(crossed));
@@ -165,7 +167,7 @@
 attempt endpoint_runner::send_failed(const running& now,
                                      const transport::call_failure& failure) {
   const monotonic_time at = context_.clock.now();
-  // At the request's own deadline the endpoint may merely be slow.
+  // If the request's own deadline passed, the endpoint may merely be slow.
   const bool late = failure.cause.kind == error_kind::deadline &&
                     now.answer_by == now.request.deadline;
   if (failure.refused) {
@@ -199,13 +201,12 @@
   } else {
     pool_.note_rejected(now.endpoint.name);
   }
-  attempt out =
-      failed_attempt(run_state::no,
-                     {now.answer.other_endpoint ? error_kind::unavailable
-                                                : error_kind::overloaded,
-                      "the endpoint did not take the request",
-                      "send it again after Retry-After"},
-                     refused_retry_after);
+  attempt out = failed_attempt(
+      run_state::no,
+      {now.answer.other_endpoint ? error_kind::unavailable
+                                 : error_kind::overloaded,
+       "the endpoint rejected the request", "send it again after Retry-After"},
+      refused_retry_after);
   out.sends = 1;
   log_event(log_level::info, "endpoint-refused",
             {{"request_id", now.request.head.request_id},
@@ -248,7 +249,7 @@
     out = failed_attempt(
         run_state::unknown,
         {error_kind::endpoint_failed,
-         "the endpoint answered " + std::to_string(answer.status),
+         "the endpoint answered with status " + std::to_string(answer.status),
          "send it again"},
         refused_retry_after);
     out.endpoint_answer = std::move(answer);
@@ -286,7 +287,7 @@
   const passed_stream passed = co_await pass_stream(
       *now.call, now.exchange, std::move(head), std::move(first), on_next);
   if (passed.caller_left) {
-    out.cause = {error_kind::bad_input, "the caller left", ""};
+    out.cause = {error_kind::bad_input, "the caller disconnected", ""};
     co_return out;
   }
   if (passed.broken) {
@@ -303,11 +304,12 @@
 attempt endpoint_runner::no_continuation(running& now) {
   const unsigned status = now.call->status();
   now.call->cancel();
-  return failed_attempt(run_state::unknown,
-                        {error_kind::endpoint_failed,
-                         "the endpoint answered the rest of a stream with " +
-                             std::to_string(status),
-                         "check the endpoint " + now.endpoint.name});
+  return failed_attempt(
+      run_state::unknown,
+      {error_kind::endpoint_failed,
+       "the endpoint answered the continuation of a stream with status " +
+           std::to_string(status),
+       "check the endpoint " + now.endpoint.name});
 }
 
 awaitable<attempt> endpoint_runner::deliver_events(running& now) {
@@ -318,7 +320,7 @@
     ended = piece->empty();
     if (ended && now.events.misses_something() && !has_told_end(*now.call)) {
       const error cause{error_kind::endpoint_failed,
-                        "an answer without length ended too early",
+                        "the connection closed before the stream was complete",
                         "check the endpoint " + now.endpoint.name};
       co_return events_broke(now, cause);
     }
@@ -346,7 +348,7 @@
 
 awaitable<bool> endpoint_runner::pass_events(running& now, std::string text,
                                              bool ended) {
-  // A stream that gave no event yet can still be sent afresh.
+  // A stream without events so far can still be restarted elsewhere.
   const bool begins = !now.exchange.answered();
   if (begins && text.empty() && !ended) co_return !now.exchange.gone();
   if (begins) {
@@ -392,7 +394,7 @@
   attempt out;
   out.delivered = true;
   out.ran = run_state::yes;
-  out.cause = {error_kind::bad_input, "the caller left", ""};
+  out.cause = {error_kind::bad_input, "the caller disconnected", ""};
   return out;
 }
 
--- a/gateway/src/engine_weighing.cc
+++ b/gateway/src/engine_weighing.cc
@@ -10,22 +10,23 @@
 
 using membership::endpoint_view;
 
-// Copying fewer tokens than this saves less than asking for it takes: reading
-// them lasts a few milliseconds.
+// Copying fewer tokens than this costs more than processing them, which takes a
+// few milliseconds.
 constexpr std::uint32_t least_copied = 256;
-// From another region the answer comes after a round trip of some 100 ms, in
-// which an engine reads many more.
+// Copying from another region adds a round trip of about 100 ms, in which an
+// engine processes more tokens than this.
 constexpr std::uint32_t least_copied_far = 2048;
-// How likely a copy finds what it asks for: the source may have evicted it,
-// and of another region only its gateways' preference is known.
+// Probability that a copy finds the tokens. The source may have evicted them;
+// in another region, only the endpoint preferred by its gateways is known.
 constexpr double copy_works = 0.9;
 constexpr double remote_copy_works = 0.5;
-// How likely the endpoint that all gateways prefer for a section lacks it when
-// none is known to have it: another gateway may have sent it just now.
+// Probability that the endpoint preferred by all gateways has not cached a
+// section when no endpoint is known to have it. Another gateway may have just
+// sent the section there.
 constexpr double preferred_lacks_section = 0.5;
 
-/// The section by which requests are kept together: the last one that others
-/// share too.
+/// Returns the section that groups requests by endpoint: the last one shared
+/// with other requests.
 const routing::prompt_section* shared_section(
     const routing::engine_work& work) {
   if (work.sections.empty()) return nullptr;
@@ -33,7 +34,7 @@
   return &work.sections[n > 1 ? n - 2 : 0];
 }
 
-/// `share` of `tokens`, in whole tokens.
+/// Returns the fraction `share` of `tokens`, rounded down.
 std::uint32_t share_of_tokens(std::uint32_t tokens, double share) {
   return static_cast<std::uint32_t>(tokens * share);
 }
--- a/gateway/src/entry_handler.cc
+++ b/gateway/src/entry_handler.cc
@@ -15,7 +15,7 @@
 using transport::http_answer;
 using transport::http_exchange;
 
-/// Whether another attempt elsewhere may do better.
+/// Returns whether an attempt at another endpoint or region may succeed.
 bool worth_another_attempt(error_kind kind) {
   return kind == error_kind::unavailable || kind == error_kind::overloaded ||
          kind == error_kind::endpoint_failed || kind == error_kind::isolated ||
@@ -23,7 +23,7 @@
          kind == error_kind::configuration_behind;
 }
 
-/// Whether the whole region, and not just an endpoint of it, has refused.
+/// Returns whether the whole region refused, rather than one of its endpoints.
 bool region_refused(error_kind kind) {
   return kind != error_kind::endpoint_failed;
 }
@@ -75,11 +75,12 @@
       entries_.read_labels(exchange.target());
   if (!asked) {
     http_answer refused = entries_.refuse(asked.error());
-    // Callers have always been given it, though no request is named.
+    // The header is part of the interface, although no request id applies here.
     refused.headers.emplace_back("X-Request-Id", "");
     return refused;
   }
-  // Entries that would have to refuse the request in transit are left out.
+  // Entries in regions that would have to refuse the request in transit are
+  // omitted.
   const result<std::shared_ptr<const config::caller>> caller =
       authenticate(exchange);
   if (caller) {
@@ -105,7 +106,7 @@
   if (caller) return caller;
   return fail(
       error_kind::unauthorized,
-      token.empty() ? "the request has no token" : "the token is not known",
+      token.empty() ? "the request has no token" : "the token is unknown",
       "send \"Authorization: Bearer TOKEN\" with the token of a "
       "caller");
 }
@@ -122,7 +123,7 @@
   return {error_kind::transit_refused,
           "this request may not pass through region " + context_.self.region,
           "use an entry of a permitted region: " +
-              (nodes.empty() ? "none is known now" : nodes)};
+              (nodes.empty() ? "none is known at present" : nodes)};
 }
 
 result<void> entry_handler::check_transit(
@@ -146,7 +147,8 @@
     if (!placed) return tl::make_unexpected(placed.error());
     return check_transit(*placed);
   }
-  // The service is in the body, which must not be read here in vain.
+  // The service is named in the body, which must not be read in this region if
+  // the request may have to be refused.
   if (!routing::transit_may_be_refused(inputs, caller, labels,
                                        context_.self.region)) {
     return {};
@@ -171,7 +173,7 @@
     error cause{stopping ? error_kind::draining : error_kind::unavailable,
                 stopping ? "this node is stopping"
                          : "this node has no configuration yet",
-                "ask /v1/entries for another node"};
+                "query /v1/entries for another node"};
     co_return tl::make_unexpected(
         failed_attempt(run_state::no, cause, seconds(1)));
   }
--- a/gateway/src/event_scanner.cc
+++ b/gateway/src/event_scanner.cc
@@ -8,7 +8,7 @@
 
 constexpr std::string_view id_field = "id";
 
-/// A whole number and nothing else: only such ids can be compared.
+/// Parses an id. Only ids that consist of a decimal number can be compared.
 std::optional<std::uint64_t> read_id(std::string_view text) {
   std::uint64_t out = 0;
   const char* end = text.data() + text.size();
@@ -22,11 +22,11 @@
 std::string_view to_string(stream_fault fault) {
   switch (fault) {
     case stream_fault::too_large:
-      return "an event is too large to be held back";
+      return "an event exceeds the buffer limit";
     case stream_fault::unreadable:
       return "a line ends with CR alone";
     case stream_fault::not_rising:
-      return "the continuation does not begin after the last event";
+      return "the continuation does not follow the last event";
     case stream_fault::none:
       break;
   }
@@ -40,7 +40,7 @@
     return out;
   }
   take_in(std::move(piece));
-  std::size_t whole = 0;  // where the last whole event ends
+  std::size_t whole = 0;  // end of the last complete event
   std::size_t end = held_.find('\n', searched_);
   while (end != std::string::npos && out.fault == stream_fault::none) {
     out.fault = take_line(end);
@@ -134,7 +134,7 @@
 }
 
 stream_fault event_scanner::check_rest(std::size_t whole) {
-  // No LF is left, so a CR that is not the last byte stands alone.
+  // No LF follows, so a CR before the last byte stands alone.
   const std::size_t cr = held_.find('\r', searched_);
   const bool at_end = cr != std::string::npos && cr + 1 == held_.size();
   if (cr != std::string::npos && !at_end) return stream_fault::unreadable;
--- a/gateway/src/forward_handler.cc
+++ b/gateway/src/forward_handler.cc
@@ -11,7 +11,7 @@
 using transport::awaitable;
 using transport::http_exchange;
 
-// A forwarded request older than this may be a replay.
+// A forwarded request older than this is rejected as a possible replay.
 constexpr std::chrono::seconds forward_lifetime{30};
 
 awaitable<void> refuse_forward(http_exchange& exchange,
@@ -35,7 +35,7 @@
   const std::string head(exchange.header(forward_header));
   const std::string expected = forward_digest(context_.peer_secret, head, body);
   const std::string given(exchange.header(forward_digest_header));
-  // Compared as digests of digests, so that timing tells nothing.
+  // Hashing both digests before comparison prevents timing attacks.
   if (sha256_hex(given) != sha256_hex(expected)) {
     return fail(error_kind::unauthorized, "this address is for peers",
                 "send requests to the callers' address of an entry");
@@ -58,9 +58,9 @@
                 "use another node");
   }
   if (!context_.state.crosses_regions()) {
-    return fail(error_kind::isolated,
-                "this node is cut off from the configuration",
-                "use another node; `trestlepost status` shows who is cut off");
+    return fail(
+        error_kind::isolated, "this node is isolated from the control nodes",
+        "use another node; `trestlepost status` shows the isolated nodes");
   }
   if (message.revision > context_.store.revision()) {
     return fail(error_kind::configuration_behind,
--- a/gateway/src/forwarder.cc
+++ b/gateway/src/forwarder.cc
@@ -42,7 +42,7 @@
   return out;
 }
 
-/// What the other gateway said when it refused.
+/// Parses the refusal of the other gateway.
 attempt read_refusal(const std::string& body, std::string_view retry_after) {
   const result<json> parsed = parse_json(body);
   const json value = parsed ? *parsed : json(Json::objectValue);
--- a/gateway/src/local_service.cc
+++ b/gateway/src/local_service.cc
@@ -18,7 +18,8 @@
 using transport::awaitable;
 using transport::http_exchange;
 
-// A claim without outcome is unknown this long after the request's deadline.
+// Time after the request's deadline at which a claim without a recorded outcome
+// becomes unknown.
 constexpr milliseconds claim_grace{2000};
 
 seconds round_up(milliseconds n) {
@@ -31,7 +32,7 @@
       return failed_attempt(
           run_state::unknown,
           {error_kind::in_progress, "a request with this key is in progress",
-           "send it again after Retry-After to hear its outcome"},
+           "send it again after Retry-After to get its outcome"},
           round_up(decided.retry_after));
     case claim_verdict::mismatch:
       return failed_attempt(
@@ -42,7 +43,7 @@
       return failed_attempt(
           run_state::no,
           {error_kind::key_expired, "this key's window has passed",
-           "look up what became of the request; use a new key for a new one"});
+           "look up the outcome of the request; use a new key for a new one"});
     case claim_verdict::moved:
       return failed_attempt(run_state::no,
                             {error_kind::configuration_behind,
@@ -147,7 +148,8 @@
                      *request.service, request.labels);
   int n = 0;
   for (const std::string& region : former) {
-    // A record may not be looked for where the request may no longer go.
+    // The record must not be looked up in a region that may no longer receive
+    // the request.
     if (!placed || !placed->permits(region)) {
       co_return failed_attempt(
           run_state::no,
@@ -286,13 +288,14 @@
     refused.outcome = lease.error();
     co_return refused;
   }
-  // It may have become known while the request waited.
+  // The request may have been held while it was queued.
   held = refuse_held(request);
   if (held) co_return std::move(*held);
   const monotonic_time started = context_.clock.now();
   const std::shared_ptr<transport::http_call> call =
       context_.client.call(lease->address());
-  // What must not run twice is left to end, so that its outcome is known.
+  // A request that must not run twice is left to complete, so that its outcome
+  // is recorded.
   if (request.repeatable) exchange.on_gone([call] { call->cancel(); });
   const own::endpoint_codec codec(request.service->refusal_means_not_run);
   const surface::endpoint_attempt sending{.head = request.head,
@@ -335,7 +338,7 @@
   const std::string service = request.service->name;
   transport::header_list headers = answer_headers(
       context_.self.region, run_state::yes, request.head.request_id);
-  // Named, because g++ 12 destroys a closure in an awaited call twice.
+  // Named, since g++ 12 destroys a closure in an awaited call twice.
   std::function<void()> on_first = [this, started, service] {
     context_.metrics.first_piece(service, context_.clock.now() - started);
   };
--- a/gateway/src/refusal_message.cc
+++ b/gateway/src/refusal_message.cc
@@ -41,8 +41,8 @@
        text_of(value, "remedy")},
       std::chrono::milliseconds(number_of(value, "retry_after_ms")));
   out.endpoint = text_of(value, "endpoint");
-  // What can't be read may hide a send; told too few, the request could reach
-  // more endpoints than its route allows.
+  // A body that can't be parsed may hide a send. Counting none could exceed the
+  // number of endpoints that the route permits.
   out.sends = parsed ? static_cast<unsigned>(number_of(value, "sends")) : 1;
   return out;
 }
--- a/gateway/src/refusal_message.h
+++ b/gateway/src/refusal_message.h
@@ -1,4 +1,4 @@
-// What one gateway tells another about a forwarded request that it refused.
+// The refusal that a gateway returns to the gateway that forwarded a request.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace trestlepost::gateway {
 
-/// The answer to the gateway that forwarded a request.
+/// Returns the answer to the gateway that forwarded the request.
 transport::http_answer make_refusal(const attempt& outcome);
 
-/// Reads the body of one; what is missing reads as "may have run".
+/// Parses the body of a refusal. If `ran` is missing, the request may have run.
 attempt read_refusal(const std::string& body);
 
 }  // namespace trestlepost::gateway
--- a/gateway/src/request_fingerprint.cc
+++ b/gateway/src/request_fingerprint.cc
@@ -5,10 +5,11 @@
 namespace trestlepost::gateway {
 namespace {
 
-// 128 bits: two requests that are not the same never share one by chance.
+// 128 bits make accidental collisions practically impossible.
 constexpr std::size_t fingerprint_bytes = 16;
 
-/// With its length before it, so that no text runs into the next.
+/// Appends `text` with a length prefix, so that adjacent fields can't be
+/// confused.
 void append(std::string& out, std::string_view text) {
   out += std::to_string(text.size());
   out += ':';
--- a/gateway/src/route_forward_handler.cc
+++ b/gateway/src/route_forward_handler.cc
@@ -35,7 +35,7 @@
   body.erase(0, size);
   const std::string expected = forward_digest(context_.peer_secret, text, body);
   const std::string given(exchange.header(forward_digest_header));
-  // Compared as digests of digests, so that timing tells nothing.
+  // Hashing both digests before comparison prevents timing attacks.
   if (sha256_hex(given) != sha256_hex(expected)) {
     return fail(error_kind::unauthorized, "this address is for peers",
                 "send requests to the callers' address of an entry");
@@ -46,16 +46,16 @@
 result<routed_request> route_forward_handler::accept(route_message message,
                                                      std::string body) const {
   if (!context_.state.may_cross(context_.clock.now())) {
-    return fail(error_kind::isolated, "this node takes no requests of others",
+    return fail(error_kind::isolated, "this node accepts no forwarded requests",
                 "use another node");
   }
   const config::plan_ptr& plan = routes_.plan();
   if (!plan || plan->number < message.plan) {
-    return behind("this node holds an older plan than the sender");
+    return behind("this node has an older plan than the sender");
   }
   const config::route* route =
       routes_.find(message.head.host, message.head.path());
-  if (route == nullptr) return behind("the sender's route is gone");
+  if (route == nullptr) return behind("this node has no route for the request");
   if (!permits_region(*route, context_.self.region)) {
     return fail(error_kind::not_permitted,
                 "route " + route->name + " does not permit region " +
--- a/gateway/src/route_forwarder.cc
+++ b/gateway/src/route_forwarder.cc
@@ -27,7 +27,8 @@
   return name.starts_with("Trestlepost-");
 }
 
-/// The head without what the other gateway told this one.
+/// Returns the head of the answer without the headers that are intended for
+/// this gateway.
 transport::http_answer caller_head(const transport::http_call& call,
                                    const surface::endpoint_codec& codec) {
   transport::http_answer out = answer_head(call, codec);
@@ -165,7 +166,7 @@
   const passed_stream passed = co_await pass_stream(
       call, exchange, std::move(head), std::move(first), on_next);
   if (passed.caller_left) {
-    out.cause = {error_kind::bad_input, "the caller left", ""};
+    out.cause = {error_kind::bad_input, "the caller disconnected", ""};
     co_return out;
   }
   if (passed.broken) {
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -16,12 +16,12 @@
 using transport::awaitable;
 using transport::http_exchange;
 
-// Attempts in other regions, each on another gateway, of one request.
+// Maximum number of regions tried for one request.
 constexpr std::size_t most_regions = 3;
 
-// A request that comes while the node still learns its plan, its endpoints or
-// that the plan is current waits for so long: told to come back it would be
-// late for certain, and most callers come back once.
+// A request that arrives before the node has received its plan, its endpoints
+// or the confirmation that the plan is current waits up to this long. A refusal
+// would certainly make it late, and most callers retry only once.
 constexpr milliseconds longest_wait_to_learn{1000};
 constexpr milliseconds learning_check_interval{20};
 
@@ -48,8 +48,8 @@
 awaitable<void> route_handler::handle(http_exchange& exchange) {
   const monotonic_time arrived = context_.clock.now();
   result<surface::call_head> head = surfaces_.callers->read_head(exchange);
-  // Read in any case: a connection that closes with unread bytes is reset,
-  // which may cost the caller the answer.
+  // The body is read in any case: closing a connection with unread bytes resets
+  // it, and the caller may lose the answer.
   result<std::string> body = co_await exchange.read_body();
   if (!head || !body) {
     const std::string id = head ? head->request_id : "";
@@ -76,7 +76,7 @@
   if (found == nullptr) {
     return fail(error_kind::not_found,
                 "no route of plan " + std::to_string(plan->number) +
-                    " leads to " + head.host + std::string(head.path()),
+                    " matches " + head.host + std::string(head.path()),
                 "check the host and the path");
   }
   routed_request out;
@@ -97,8 +97,8 @@
                                       monotonic_time arrived,
                                       http_exchange& exchange) {
   const std::string id = head.request_id;
-  // After a standstill, what came meanwhile is read in any order: a request may
-  // come before the change that says where it must not go.
+  // After a stall, the backlog is read in arbitrary order. A request may be
+  // read before the change that forbids a destination for it.
   while (!routes_.plan() || context_.state.is_behind(context_.clock.now())) {
     const bool again = co_await wait_to_learn(arrived, exchange);
     if (!again) break;
@@ -181,7 +181,7 @@
     if (!may_go_elsewhere(request, last)) break;
     exhausted.insert(region);
   }
-  // What an endpoint answered itself is better than a refusal of ours.
+  // An endpoint's own answer is preferred to a refusal by the gateway.
   if (kept && !last.endpoint_answer) last.endpoint_answer = std::move(kept);
   if (may_have_run) last.ran = run_state::unknown;
   co_return last;
@@ -207,7 +207,8 @@
   context_.metrics.request_done(request.service, name, passed);
   const std::int64_t ms =
       std::chrono::duration_cast<milliseconds>(passed).count();
-  // Kinds of their own, so that answers never crowd out failures.
+  // Separate event names, so that the limit on answered requests does not drop
+  // failures.
   const bool whole = outcome.delivered && outcome.cause.message.empty();
   log_event(whole ? log_level::info : log_level::warn,
             whole ? "request-answered" : "request-failed",
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -9,20 +9,21 @@
 
 using std::chrono::milliseconds;
 
-// Until a region's distance is measured.
+// Assumed until the round-trip time to a region is measured.
 constexpr milliseconds unknown_round_trip{110};
-// What serving away costs, as a share of a request's value: a second gateway's
-// work, and bytes on the link that the regions share.
+// Cost of serving in another region, as a fraction of a request's value: the
+// work of a second gateway, and bandwidth on the link between the regions.
 constexpr double hop_cost = 0.03;
-// How often shared prompt parts that are cached here are not cached there.
+// Probability that shared prompt sections cached in this region are not cached
+// in the other one.
 constexpr double cold_away = 0.5;
 
-/// What the gateways of another region say of a service there.
+/// The load of a service in another region, as advertised by its gateways.
 struct remote_load {
   milliseconds wait{0};
   milliseconds event_interval{0};
   std::uint32_t endpoints = 0;
-  /// Requests that run or wait at one endpoint, in the mean.
+  /// Mean number of requests that run or wait at one endpoint.
   double running = 0;
 };
 
@@ -46,12 +47,12 @@
   return best;
 }
 
-/// The share of the prompt that other requests share too.
+/// Returns the fraction of the prompt that is shared with other requests.
 double shared_share(const routing::engine_work& work) {
   if (work.sections.empty() || work.prompt_tokens == 0) return 0;
   std::uint32_t shared = 0;
   for (const routing::prompt_section& it : work.sections) shared += it.tokens;
-  // The last section is the request's own.
+  // The last section is specific to the request.
   shared -= work.sections.back().tokens;
   return std::min(1.0, static_cast<double>(shared) / work.prompt_tokens);
 }
@@ -67,8 +68,8 @@
   return engine ? std::max(1U, service->engine->tokens_per_event) : 1;
 }
 
-/// The course of `request` in `region`, as far as it can be told from here:
-/// engines there are taken to read as fast as those of the own region.
+/// Estimates the completion of `request` in `region`, assuming that the engines
+/// there process prompts as fast as those of the local region.
 routing::outlook outlook_away(const gateway_context& context,
                               const remote_load& load,
                               const std::string& region,
@@ -84,7 +85,8 @@
       engines.reading_time(request.service, work.prompt_tokens);
   const unsigned events = work.output_tokens / tokens_per_event(request);
   routing::outlook out;
-  // What this gateway sent there since is not in the numbers yet.
+  // The advertised load does not include the requests that this gateway has
+  // sent there since.
   out.wait =
       load.wait + distance +
       engines.reading_time(request.service, sent_tokens) / load.endpoints;
@@ -95,7 +97,7 @@
   return out;
 }
 
-/// A decision, and what the request is worth by it.
+/// A region with the value of the request there.
 struct valued_decision {
   region_decision decision;
   double value = 0;
@@ -117,7 +119,7 @@
                             chosen->chance)};
 }
 
-/// The best of the other regions.
+/// Returns the other region with the highest value.
 std::optional<valued_decision> weigh_other_regions(
     const gateway_context& context, const endpoint_pool& own,
     const route_forwarder& remote, const routed_request& request,
@@ -144,7 +146,7 @@
   return best;
 }
 
-/// Whether this request is one of the `share` that leaves.
+/// Returns true with probability `share`.
 bool leaves(double share, random_source& random) {
   constexpr std::uint64_t parts = 1'000'000;
   return static_cast<double>(random.below(parts)) <
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -12,24 +12,26 @@
 using std::chrono::milliseconds;
 using transport::awaitable;
 
-// Endpoints that are tried when none of them took a byte of the request.
+// Maximum number of endpoints tried while none has received a byte of the
+// request.
 constexpr unsigned most_unsent_tries = 4;
-// A request that would wait too long comes back after half that wait, but not
-// sooner than this.
+// Lower bound of Retry-After for a request that would wait too long. The
+// regular value is half the wait.
 constexpr milliseconds least_retry_after{100};
 
-// A request may take this much more from the answers written at an endpoint
-// than it is worth itself, in shares of a request's value, before it is
-// refused: few that are refused are served when they come back.
+// A request is refused if it costs the answers in progress at an endpoint more
+// than its own value plus this, as a fraction of a request's value. The margin
+// avoids refusals, since few refused requests are served when they return.
 constexpr double most_net_loss = 0.3;
 
-// Where too many answers are written for another prompt, this part of the mean
-// time of a request has to pass until markedly fewer are.
+// If too many answers are in progress, their number drops markedly after the
+// mean duration of a request divided by this.
 constexpr int parts_until_fewer_run = 4;
 
-// Callers give a stream up when nothing comes for the longest of these: this
-// long, so many latency objectives, or so many of the route's longest pauses.
-// What is predicted to come later is not worth an engine's time.
+// Callers abandon a stream after the longest of these times without an event:
+// this minimum, a multiple of the latency objective, and a multiple of the
+// route's longest pause. A first event that is predicted later is not worth the
+// engine's time.
 constexpr milliseconds least_stream_patience{2000};
 constexpr int stream_patience_objectives = 4;
 constexpr int stream_patience_pauses = 8;
@@ -40,9 +42,9 @@
                    stream_patience_pauses * route.longest_pause});
 }
 
-/// Whether a request that meets `expected` would come too late. What it meets
-/// before its own prompt counts, so that long prompts are refused no sooner
-/// than short ones.
+/// Returns whether a request with the estimate `expected` would start too late.
+/// Only the wait before its own prompt is compared, so that long prompts are
+/// not refused earlier than short ones.
 bool too_late(const routed_request& request, const routing::outlook& expected,
               monotonic_time now) {
   if (now + expected.wait >= request.deadline) return true;
@@ -60,24 +62,26 @@
   return failed_attempt(
       run_state::no,
       {error_kind::overloaded,
-       "prompts that wait take " + std::to_string(wait.count()) + " ms",
+       "queued prompts would take " + std::to_string(wait.count()) + " ms",
        "send it again after Retry-After"},
       std::max(least_retry_after, wait / 2));
 }
 
-/// `hold`: mean time for which a request of the service runs.
+/// Returns the refusal. `hold` is the mean duration of a request of the
+/// service.
 attempt puts_off_too_much(const chosen_endpoint& chosen, milliseconds hold) {
   const milliseconds by = chosen.expected.slows_others;
   return failed_attempt(
       run_state::no,
       {error_kind::overloaded,
-       "reading its prompt would put off other answers by " +
+       "processing its prompt would delay other answers by " +
            std::to_string(by.count()) + " ms",
        "send it again after Retry-After"},
       std::max(least_retry_after, hold / parts_until_fewer_run));
 }
 
-/// Whether the caller would give its stream up before the endpoint begins.
+/// Returns whether the caller would abandon the stream before the endpoint
+/// starts.
 bool rest_too_late(const routed_request& request,
                    const routing::outlook& expected, monotonic_time now) {
   return now + expected.wait >= request.deadline ||
@@ -89,7 +93,7 @@
               "send the request again with the last event's id");
 }
 
-/// How a continuation ended.
+/// Returns the outcome of a continuation, as logged and counted.
 std::string outcome_of(const attempt& it, bool caller_left) {
   if (caller_left) return "caller-left";
   if (!it.delivered) return "not-taken";
@@ -99,8 +103,8 @@
 }  // namespace
 
 std::size_t route_service::known_gateways() const {
-  // Those that are not heard count too: they may be on the other side of a
-  // cut and retry there.
+  // Unreachable gateways are included: they may retry on the other side of a
+  // network partition.
   const std::vector<const membership::node_record*> all = context_.nodes.all();
   return static_cast<std::size_t>(std::count_if(
       all.begin(), all.end(), [](const membership::node_record* it) {
@@ -207,7 +211,7 @@
       if (!last) last = std::move(chosen.error());
       break;
     }
-    // Whoever sent it here has paid for the first.
+    // The sender has reserved the first send.
     if (last && !pay_for_send(request)) break;
     if (last) note_retry(request, *last, context_.self.region);
     const bool may_give_up =
@@ -240,23 +244,23 @@
   if (events.resume_point().empty()) {
     return not_continued("the last event has no id");
   }
-  if (held(request)) return not_continued("the request is held back");
+  if (held(request)) return not_continued("the request is held");
   const monotonic_time now = context_.clock.now();
-  if (now >= request.deadline) return not_continued("no time is left");
+  if (now >= request.deadline) return not_continued("the deadline has passed");
   if (request.sends.count() >= request.route->attempts) {
-    return not_continued("the route's attempts are used up");
+    return not_continued("the route permits no more attempts");
   }
   if (unsent >= most_unsent_tries) {
-    return not_continued("no endpoint takes the request");
+    return not_continued("no endpoint accepts the request");
   }
   result<chosen_endpoint> chosen = pool_.choose(request);
   if (!chosen) return chosen;
   if (rest_too_late(request, chosen->expected, now)) {
-    return not_continued("prompts that wait take too long");
+    return not_continued("queued prompts would take too long");
   }
   if (!pay_for_send(request)) {
-    return not_continued("the retries of " + request.service +
-                         " are used up for now");
+    return not_continued("the retry budget of " + request.service +
+                         " is exhausted");
   }
   return chosen;
 }
--- a/gateway/test/endpoint_lives-test.cc
+++ b/gateway/test/endpoint_lives-test.cc
@@ -1,3 +1,5 @@
+// Tests that entries of superseded endpoint incarnations are dropped, also when
+// a delayed list arrives after a newer one.
 #include "trestlepost/gateway/endpoint_lives.h"
 
 #include <gtest/gtest.h>
@@ -32,7 +34,8 @@
   endpoint_lives lives;
   lives.newest({entry("a", 9)}, start);
   EXPECT_TRUE(lives.newest({entry("a", 5)}, start + seconds(1)).empty());
-  // Nor one without a start, after the endpoint was not listed for a while.
+  // Neither does an entry without a start time, after the endpoint was not
+  // listed for a while.
   EXPECT_TRUE(lives.newest({}, start + seconds(30)).empty());
   EXPECT_TRUE(lives.newest({entry("a", 0)}, start + seconds(59)).empty());
   EXPECT_EQ(lives.newest({entry("a", 12)}, start + seconds(59)).size(), 1U);
--- a/gateway/test/event_scanner-test.cc
+++ b/gateway/test/event_scanner-test.cc
@@ -1,3 +1,5 @@
+// Tests the splitting of event streams and their continuation after an
+// interruption at any byte.
 #include "trestlepost/gateway/event_scanner.h"
 
 #include <gtest/gtest.h>
@@ -166,7 +168,7 @@
   EXPECT_EQ(got.fault, stream_fault::too_large);
 }
 
-// A stream that every endpoint can give from any event on.
+// A stream that every endpoint can continue after any event.
 
 struct made_event {
   std::uint64_t id = 0;
@@ -212,7 +214,7 @@
   return out;
 }
 
-/// Pushes `text` in pieces of any size and gives what may be passed on.
+/// Pushes `text` in pieces of random size and returns the bytes passed on.
 std::string push_in_pieces(event_scanner& scanner, const std::string& text) {
   std::string out;
   for (std::size_t at = 0; at < text.size();) {
@@ -236,7 +238,7 @@
     const std::size_t cut = *rc::gen::inRange<std::size_t>(0, rest.size() + 1);
     passed += push_in_pieces(scanner, rest.substr(0, cut));
     RC_ASSERT(passed == whole.substr(0, passed.size()));
-    // Before the first event the request is sent afresh.
+    // Before the first event, the request is sent again from the start.
     if (scanner.resume_point().empty())
       scanner = event_scanner();
     else
--- a/gateway/test/remote_caches-test.cc
+++ b/gateway/test/remote_caches-test.cc
@@ -1,4 +1,5 @@
-// From which other region's endpoint prompt parts are copied.
+// Tests the choice of the remote endpoint from which cached prompt sections are
+// copied.
 #include "trestlepost/gateway/remote_caches.h"
 
 #include <gtest/gtest.h>
--- a/gateway/test/request-test.cc
+++ b/gateway/test/request-test.cc
@@ -1,3 +1,4 @@
+// Tests the encoding of forwarded requests and the digest of a request.
 #include "trestlepost/gateway/request.h"
 
 #include <gtest/gtest.h>
--- a/gateway/test/request_fingerprint-test.cc
+++ b/gateway/test/request_fingerprint-test.cc
@@ -1,3 +1,4 @@
+// Tests which parts of a request its fingerprint depends on.
 #include "trestlepost/gateway/request_fingerprint.h"
 
 #include <gtest/gtest.h>
