--- a/config/include/trestlepost/config/change.h
+++ b/config/include/trestlepost/config/change.h
@@ -1,4 +1,5 @@
-// Changes of the configuration, their results, and the audit trail.
+// Configuration changes as they are replicated through the log, the results of
+// applying them, and the audit trail, with their JSON conversions.
 #pragma once
 
 #include <memory>
@@ -13,34 +14,38 @@
 
 namespace trestlepost::config {
 
-/// Where the record of run-once requests of a region lives: the group and its
-/// first voters. Written once a region, by the leader.
+/// The consensus group that stores a region's ledger (its record of run-once
+/// requests), and the group's initial voters. Written once per region, by the
+/// leader.
 struct ledger_founding {
   std::string region;
   std::string group_id;
   consensus::member_list members;
 };
 
-/// An order to take an availability zone out of service, or back into it.
+/// Takes an availability zone out of service, or puts it back into service.
 struct zone_evacuation {
   std::string availability_zone;
   bool evacuated = true;
 };
 
-/// One change, as it stands in the log. It is decided when it is applied.
-/// It holds edits, or one of the optional parts below them.
+/// One change, as stored in the log. It is accepted or rejected when the log
+/// entry is applied. It contains either `edits` or exactly one of `founding`,
+/// `plan`, `edited_plan`, `evacuation` and `hold`.
 struct change {
   std::string id;
   std::string operator_name;
   wall_time at;
   std::vector<edit> edits;
-  /// Refuse unless the whole configuration is at this revision.
+  /// If set, the change is rejected unless the configuration is at this
+  /// revision.
   std::optional<revision_number> if_revision;
   std::optional<ledger_founding> founding;
-  /// Replaces the traffic plan, unless a plan of this number or above holds.
+  /// Replaces the traffic plan, unless the plan in force has the same or a
+  /// higher number.
   plan_ptr plan;
-  /// The same, told as an edit of the plan that it was made from. A conflict
-  /// when that one does not hold any more.
+  /// Replaces the traffic plan like `plan`, but is encoded as an edit of its
+  /// base plan. A conflict if the base is no longer in force.
   std::shared_ptr<const plan_edit> edited_plan;
   std::optional<zone_evacuation> evacuation;
   std::optional<request_hold> hold;
@@ -52,21 +57,21 @@
 
 struct change_result {
   change_status status = change_status::invalid;
-  revision_number revision = 0;  // of the configuration after the decision
+  revision_number revision = 0;  // of the configuration after the change
   std::string message;
   std::string remedy;
   std::vector<std::string> warnings;
 };
 
-/// One line of the audit trail.
+/// One entry of the audit trail.
 struct audit_record {
   std::uint64_t sequence = 0;
   wall_time at;
   std::string operator_name;
   std::string change_id;
   change_result outcome;
-  /// JSON text of [{"kind","name","before","after"}]; as text, because parsed
-  /// values of whole configurations would fill the memory.
+  /// JSON text of [{"kind","name","before","after"}]. Kept as text because
+  /// parsed values of whole configurations take too much memory.
   std::string objects_text;
 
   json objects() const;
@@ -78,7 +83,7 @@
 zone_evacuation zone_evacuation_from(const json& value);
 json to_json(const change& value);
 result<change> change_from(const json& value);
-/// A change as it stands in the log: JSON, compressed when it is large.
+/// Encodes a change for the log: JSON, compressed if it is large.
 std::string encode_change(const change& value);
 result<change> decode_change(std::string_view command);
 json to_json(const change_result& value);
@@ -86,9 +91,10 @@
 json to_json(const audit_record& value);
 audit_record audit_record_from(const json& value);
 
-/// Digest of what an operator asked, to tell a resent change from another one
-/// under the same id. Bases that a node filled in do not count; a plan counts
-/// by the document that the operator sent.
+/// Digest of the operator's input. Distinguishes a resent change from another
+/// change with the same id. Base revisions of edits are not part of it, because
+/// a node may have filled them in; a plan is identified by the document that
+/// the operator sent.
 std::string request_digest(const change& value);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/confirmation_tracker.h
+++ b/config/include/trestlepost/config/confirmation_tracker.h
@@ -1,4 +1,4 @@
-// How long changes take until every watcher holds them.
+// Measures how long configuration changes take to reach every watcher.
 #pragma once
 
 #include <chrono>
@@ -10,18 +10,22 @@
 
 namespace trestlepost::config {
 
-/// A revision that all watchers hold, and how long after its decision.
+/// A revision that all watchers have, and the time from its decision until the
+/// last of them reported it.
 struct confirmed_revision {
   revision_number revision = 0;
   std::chrono::milliseconds taken{0};
 };
 
-/// Follows the revisions that a leader decides until they are confirmed.
+/// Tracks revisions from their decision on the leader until all watchers have
+/// reported them.
 class confirmation_tracker {
  public:
-  /// All revisions up to `revision` are decided.
+  /// Records that all revisions up to `revision` are decided. A repeated call
+  /// keeps the first time.
   void decided(revision_number revision, monotonic_time now);
-  /// All watchers hold `held`: the revisions that are confirmed by this.
+  /// Records that all watchers have `held`. Returns the revisions that this
+  /// confirms, each of them once.
   std::vector<confirmed_revision> confirmed(revision_number held,
                                             monotonic_time now);
   void clear() { waiting_.clear(); }
--- a/config/include/trestlepost/config/content_delivery.h
+++ b/config/include/trestlepost/config/content_delivery.h
@@ -1,4 +1,5 @@
-// What one watcher was sent of the configuration, and what is due to it.
+// Tracks which configuration changes one watcher was sent and which it has
+// acknowledged, and decides what to send next.
 #pragma once
 
 #include <chrono>
@@ -9,41 +10,42 @@
 
 namespace trestlepost::config {
 
-/// Decides from which revision a watcher is sent changes, so that none is sent
-/// twice while it is under way. The polls that come meanwhile still name the
-/// old revision, and answering each with all changes would keep a leader busy
-/// for seconds after a large one.
+/// Decides from which revision on a watcher is sent changes, so that no change
+/// is sent again while it is in flight. Polls that arrive while a change is in
+/// flight still report the old revision; answering each of them with all
+/// changes would keep a leader busy for seconds after a large change.
 class content_delivery {
  public:
-  /// The watcher polls and holds `revision`. Less than before means that it
-  /// lost what it held.
+  /// Records that a poll of the watcher reported `revision`. A lower revision
+  /// than before means that the watcher lost its copy.
   void holds(revision_number revision, monotonic_time now);
-  /// The watcher could not use what it was sent, or listens elsewhere now:
-  /// nothing that was sent counts.
+  /// Regards everything in flight as lost. Called when the watcher could not
+  /// apply an update or has changed its address.
   void missed();
   revision_number held() const { return held_; }
 
-  /// The revision that the changes due now begin after; nothing when the
-  /// watcher holds `newest` or all of it is under way.
+  /// The revision after which the changes to send now begin; nullopt if the
+  /// watcher has `newest` or everything up to it is in flight.
   std::optional<revision_number> due(revision_number newest,
                                      monotonic_time now) const;
-  /// Whether what is due was sent before and is taken for lost.
+  /// Whether the changes to send were sent before and count as lost.
   bool is_repeat(monotonic_time now) const;
-  /// All changes up to `revision` were sent. What has to be sent again is given
-  /// twice as long each time, until the watcher gets on.
+  /// Records that all changes up to `revision` were sent. The timeout doubles
+  /// with each retransmission until the watcher acknowledges a newer revision.
   void sent(revision_number revision, monotonic_time now);
 
  private:
-  /// What was sent is taken for lost after this time. 4,000 new
-  /// routes take a gateway 32 ms of a core; a change has to be in force within
-  /// 4 s.
+  /// Time after which changes in flight count as lost. A gateway needs 32 ms of
+  /// CPU time to apply 4,000 new routes, and a change has to be in force within
+  /// 4 s, so one retransmission fits.
   static constexpr std::chrono::milliseconds first_patience{2000};
 
   bool under_way(monotonic_time now) const;
 
   revision_number held_ = 0;
   revision_number sent_ = 0;
-  /// Since when what is under way has brought the watcher no further.
+  /// Start of the current timeout: the first send of what is in flight, or the
+  /// watcher's last progress.
   monotonic_time waiting_since_;
   std::chrono::milliseconds patience_ = first_patience;
 };
--- a/config/include/trestlepost/config/hold_tracker.h
+++ b/config/include/trestlepost/config/hold_tracker.h
@@ -1,5 +1,5 @@
-// Which requests the configuration has begun to hold back, and which it has
-// released.
+// Reports which requests became held, and which were released, between two
+// revisions of the configuration.
 #pragma once
 
 #include <set>
@@ -10,15 +10,16 @@
 
 namespace trestlepost::config {
 
-/// Fingerprints of requests.
+/// Fingerprints of the requests that became held or were released.
 struct hold_changes {
   std::vector<std::string> held;
   std::vector<std::string> released;
 };
 
+/// Compares the held requests of successive revisions.
 class hold_tracker {
  public:
-  /// What has changed since the last call.
+  /// Returns the differences between `store` and the store of the last call.
   hold_changes update(const object_store& store);
 
  private:
--- a/config/include/trestlepost/config/objects.h
+++ b/config/include/trestlepost/config/objects.h
@@ -1,4 +1,5 @@
-// The objects that operators write.
+// The configuration objects that operators write: regions, services, endpoints,
+// placement rules and callers, and the functions that read them from JSON.
 #pragma once
 
 #include <chrono>
@@ -19,11 +20,11 @@
 
 /// "region", "service", ...
 std::string_view to_string(object_kind kind);
-/// The list's name in files: "regions", "services", ...
+/// Key of the kind's list in configuration files: "regions", "services", ...
 std::string_view list_name(object_kind kind);
 result<object_kind> object_kind_from(std::string_view name);
 
-/// A place to which data may be bound. Its labels include region=NAME.
+/// A region to which data may be confined. Its labels include region=NAME.
 struct region {
   std::string name;
   label_map labels;
@@ -31,16 +32,17 @@
 
 enum class service_kind { model, plain };
 
-/// What callers ask for. Its labels include service=NAME.
+/// A service that callers send requests to. Its labels include service=NAME.
 struct service {
   std::string name;
   label_map labels;
   service_kind kind = service_kind::plain;
-  /// Whether a request may run twice when it does not say.
+  /// Whether a request may run more than once, unless it specifies this itself.
   bool repeatable = true;
-  /// The endpoints' 503 means that the request was not run.
+  /// Whether status 503 from an endpoint guarantees that the request did not
+  /// run.
   bool refusal_means_not_run = false;
-  /// Longest time until an answer is whole, when the request sets none.
+  /// Time limit for the complete answer, unless the request sets one.
   std::chrono::milliseconds timeout{30000};
   /// How long the outcome of a request with an idempotency key is kept.
   std::chrono::milliseconds key_window{86400000};
@@ -54,13 +56,13 @@
   std::string region;
   std::string availability_zone;
   std::string address;   // "IP:PORT"
-  unsigned slots = 8;    // requests that it works on at once
+  unsigned slots = 8;    // requests that it processes concurrently
   bool drained = false;  // takes no new requests
 };
 
 enum class transit_policy { allow, refuse };
 
-/// Where requests that match may be served.
+/// The regions that may serve the requests that match the rule.
 struct placement_rule {
   std::string name;
   label_map labels;
@@ -68,29 +70,31 @@
   selector services;
   selector requests;
   selector permit;  // over the labels of regions
-  selector home;    // over the labels of regions; the first by name
+  selector home;    // over the labels of regions; the first match by name
   std::chrono::milliseconds away_penalty{0};
   transit_policy transit = transit_policy::allow;
 };
 
-/// Who asks. Its labels include caller=NAME.
+/// A client that sends requests. Its labels include caller=NAME.
 struct caller {
   std::string name;
   label_map labels;
   std::string token_sha256;
-  /// Labels that a request of this caller may carry, with their values.
+  /// Labels that a request of this caller may carry, with the allowed values.
   std::map<std::string, std::vector<std::string>> request_labels;
-  /// Weight among the callers that wait for the same service.
+  /// Weight among the callers that are queued for the same service.
   unsigned share = 1;
 };
 
+// Each function reads one object and adds what is wrong with it to `problems`.
 region read_region(const json& spec, problem_list& problems);
 service read_service(const json& spec, problem_list& problems);
 endpoint read_endpoint(const json& spec, problem_list& problems);
 placement_rule read_placement_rule(const json& spec, problem_list& problems);
 caller read_caller(const json& spec, problem_list& problems);
 
-/// Splits "IP:PORT"; false when it is not one.
+/// Whether `text` has the form "HOST:PORT" with a port in 1..65535. The host is
+/// not checked.
 bool is_address(std::string_view text);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/plan_delta.h
+++ b/config/include/trestlepost/config/plan_delta.h
@@ -1,6 +1,5 @@
-// What changed from one traffic plan to the next. Most plans differ from the
-// one before in a few routes out of thousands; watchers are sent the
-// difference.
+// Differences between two traffic plans. Successive plans usually differ in a
+// few of thousands of routes, so watchers are sent only the difference.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +11,7 @@
 
 namespace trestlepost::config {
 
-/// Where a route stands; a plan holds one route at each place.
+/// Identifies a route: a plan has at most one route per key.
 struct route_place {
   std::string host;
   std::string path_prefix;
@@ -20,24 +19,26 @@
   auto operator<=>(const route_place&) const = default;
 };
 
+/// The changes that turn one traffic plan into another.
 struct plan_delta {
-  plan_number number = 0;  // of the plan that it leads to
-  std::vector<route> written;
+  plan_number number = 0;      // of the resulting plan
+  std::vector<route> written;  // added or changed routes
   std::vector<route_place> removed;
-  /// All services, when any of them changed.
+  /// All services, if any of them changed.
   std::optional<std::vector<planned_service>> services;
   std::optional<request_limits> limits;
 
-  /// Routes that it names.
+  /// The number of routes that are written or removed.
   std::size_t size() const { return written.size() + removed.size(); }
 };
 
-/// `before` may be null: then all of `after` is new.
+/// The difference from `before` to `after`. If `before` is null, all of `after`
+/// is new.
 plan_delta delta_between(const traffic_plan* before, const traffic_plan& after);
 
-/// The plan that `delta` leads to, without a document. New routes stand after
-/// those that were there. `before` must be the plan that the delta was made
-/// from.
+/// Applies `delta` to `before`, which must be the plan (or null) that the delta
+/// was made from. The result has no document, and new routes follow the
+/// existing ones.
 traffic_plan apply_delta(const traffic_plan* before, const plan_delta& delta);
 
 json to_json(const plan_delta& value);
--- a/config/include/trestlepost/config/plan_edit.h
+++ b/config/include/trestlepost/config/plan_edit.h
@@ -1,6 +1,6 @@
-// A traffic plan as an edit of the one before it, the form in which it stands
-// in the log: its length grows with what changes, and with it the time that a
-// leader's turn takes and the time that the entry keeps a link busy.
+// A traffic plan encoded as an edit of the previous plan, as stored in the log.
+// The size of the log entry, and with it the leader's processing time and the
+// transfer time, then depends on the size of the change and not of the plan.
 #pragma once
 
 #include <string>
@@ -9,18 +9,21 @@
 
 namespace trestlepost::config {
 
+/// The edit that turns a base plan, with its document, into a new one.
 struct plan_edit {
-  plan_number base = 0;  // of the plan that it was made from; 0: none
+  plan_number base = 0;  // number of the base plan; 0: none
   plan_delta delta;
-  /// Leads from one document to the other; compressed, and printable.
+  /// Text delta from the base document to the new one, compressed and encoded
+  /// in printable characters.
   std::string document;
 };
 
-/// `before` may be null.
+/// The edit from `before`, which may be null, to `after`.
 plan_edit make_plan_edit(const traffic_plan* before, const traffic_plan& after);
 
-/// The plan that `edit` leads to, not checked yet. `before` must be the plan
-/// that the edit was made from.
+/// Applies `edit` to `before`, which must be the plan (or null) that the edit
+/// was made from. Fails with `corrupt` if the document delta doesn't apply. The
+/// resulting plan is not validated.
 result<traffic_plan> apply_plan_edit(const traffic_plan* before,
                                      const plan_edit& edit);
 
--- a/config/include/trestlepost/config/route_list.h
+++ b/config/include/trestlepost/config/route_list.h
@@ -1,5 +1,5 @@
-// Many routes as JSON: most differ from others in their name and place only,
-// so what they share is written once.
+// Compact JSON encoding of route lists. Most routes differ only in name, host
+// and path prefix, so settings that routes share are written once.
 #pragma once
 
 #include <vector>
@@ -8,12 +8,15 @@
 
 namespace trestlepost::config {
 
-/// {"like": [...], "at": [n, name, host, path prefix, ...]}: each route is like
-/// the n-th of `like`, which have no names and places. The order is kept.
+/// Encodes routes as {"like": [...], "at": [n, name, host, path prefix, ...]}.
+/// "like" lists the distinct settings (routes without name, host and path
+/// prefix); each route refers to its settings by the index n. The order is
+/// kept.
 json to_json(const std::vector<route>& value);
 
-/// Reads also a plain list of routes, as logs of earlier versions hold it. A
-/// route that is cut off or like none is left out.
+/// Decodes a route list. Also accepts a plain array of routes, as in logs of
+/// earlier versions. Skips routes that are truncated, have values of a wrong
+/// type or refer to an index that doesn't exist.
 std::vector<route> routes_from(const json& value);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/selector.h
+++ b/config/include/trestlepost/config/selector.h
@@ -1,4 +1,4 @@
-// Labels and the selectors that match them.
+// Labels, and selectors that match sets of labels.
 #pragma once
 
 #include <map>
@@ -21,18 +21,19 @@
   std::vector<std::string> values;
 };
 
-/// All requirements must hold; an empty selector matches everything.
+/// Matches if all requirements match; an empty selector matches everything.
 using selector = std::vector<requirement>;
 
 /// Reads {"key": "value"}, {"key": ["a", "b"]}, {"key": {"in": [...]}},
-/// {"key": {"not_in": [...]}} and {"key": {"exists": true|false}}.
+/// {"key": {"not_in": [...]}} and {"key": {"exists": true|false}}. Other values
+/// are added to `problems` under `path`.
 selector read_selector(const json& value, const std::string& path,
                        problem_list& problems);
 
 bool matches(const requirement& condition, const label_map& labels);
 bool matches(const selector& conditions, const label_map& labels);
 
-/// For people: "cargo in (hazard), urgent exists".
+/// Human-readable form, such as "cargo in (hazard), urgent exists".
 std::string describe(const selector& conditions);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/state_machine.h
+++ b/config/include/trestlepost/config/state_machine.h
@@ -1,5 +1,6 @@
-// The replicated configuration: decides each committed change, keeps the
-// table of change ids, the audit trail, and the history that watchers read.
+// The replicated configuration: accepts or rejects each committed change, and
+// keeps the results by change id, the audit trail, and the history from which
+// watchers are updated.
 #pragma once
 
 #include <deque>
@@ -17,17 +18,19 @@
 
 namespace trestlepost::config {
 
-/// Bounds of what the state keeps.
+/// Limits on the number of entries that the state machine keeps.
 struct state_limits {
   std::size_t change_ids = 10'000;
   std::size_t audit_records = 5'000;
   std::size_t history = 500;
-  /// Objects and routes that the changes of the history may name together.
+  /// Total number of objects and routes in the changes of the history.
   std::size_t history_edits = 2'000;
-  /// A mechanism left out on purpose, for tests that show what catches it.
+  /// Fault injection for tests: applies a change again when it is resent.
   bool forget_change_ids = false;
 };
 
+/// Applies the configuration group's log. Every replica reaches the same
+/// decisions.
 class config_state_machine final : public consensus::state_machine {
  public:
   explicit config_state_machine(state_limits limits = {});
@@ -37,17 +40,21 @@
   void load(std::string_view data) override;
 
   const object_store& store() const { return store_; }
+  /// The result of the change with this id, if it is still remembered.
   std::optional<change_result> result_of(const std::string& change_id) const;
-  /// The first result of this change, a mismatch when its id was used for
-  /// another change, or nothing when the id is new.
+  /// The result of the first submission of this change, a mismatch if its id
+  /// was used for another change, or nullopt if the id is new.
   std::optional<change_result> known_result(const change& asked) const;
   const std::deque<audit_record>& audit() const { return audit_; }
   const std::map<std::string, ledger_founding>& ledgers() const {
     return ledgers_;
   }
+  /// The update from revision `from` to the current one: the changes, or the
+  /// whole configuration if the history doesn't go back that far or if the
+  /// changes name more routes than the plan has.
   watch_update update_since(revision_number from) const;
 
-  /// Called after each decision.
+  /// Called with the audit record of each accepted or rejected change.
   std::function<void(const audit_record&)> on_decided;
 
  private:
@@ -60,10 +67,10 @@
   change_result decide_founding(const change& asked);
   change_result decide_plan(const change& asked, json& touched);
   change_result decide_edited_plan(const change& asked, json& touched);
-  /// Number of the plan that holds; 0 when there is none.
+  /// The number of the plan in force; 0 if there is none.
   plan_number held_number() const;
   change_result plan_stays() const;
-  /// Puts `next` in force, which `delta` leads to.
+  /// Puts `next` in force; `delta` is its difference from the current plan.
   change_result take_plan(const change& asked, plan_ptr next, plan_delta delta,
                           json& touched);
   change_result decide_evacuation(const change& asked, json& touched);
--- a/config/include/trestlepost/config/store.h
+++ b/config/include/trestlepost/config/store.h
@@ -1,5 +1,5 @@
-// The configuration in force on one node: objects by name, with the revision
-// that wrote each.
+// The configuration in force on one node: objects by name with the revision
+// that wrote each, the traffic plan, evacuated zones and held requests.
 #pragma once
 
 #include <deque>
@@ -20,21 +20,22 @@
 
 using revision_number = std::uint64_t;
 
-/// One written or removed object. A null `spec` removes it.
+/// Writes one object, or removes it if `spec` is null.
 struct edit {
   object_kind kind = object_kind::region;
   std::string name;
   json spec;
-  /// The revision of the object that the operator saw; 0 for "there is none".
+  /// The object's revision that the operator edited; 0 if there was no such
+  /// object. If unset, the edit is not checked for conflicts.
   std::optional<revision_number> base;
 };
 
 json to_json(const edit& value);
 result<edit> edit_from(const json& value);
 
-/// A specification with the revision that wrote it.
-/// It is kept as text: a parsed one takes several times the memory, and there
-/// are tens of thousands.
+/// An object's specification and the revision that wrote it. Kept as JSON text:
+/// parsed JSON takes several times the memory, and there are tens of thousands
+/// of objects.
 struct stored_spec {
   std::string text;
   revision_number revision = 0;
@@ -42,32 +43,33 @@
   json spec() const;
 };
 
-/// What an object was before a change, kept for the longest key window, so
-/// that a request's former home can be found.
+/// A specification that a change has replaced. Kept for the longest key window,
+/// so that the earlier home region of a request can still be determined.
 struct former_spec {
   object_kind kind = object_kind::region;
   std::string name;
-  std::string text;  // empty: there was none
+  std::string text;  // JSON; empty if the object didn't exist
   wall_time replaced_at;
 
   json spec() const;
 };
 
-/// Longest window in which the outcome of a request is kept.
+/// Longest time for which the outcome of a request may be kept.
 inline constexpr std::chrono::hours longest_key_window{24};
 
-/// A request that is sent to no endpoint any more, since they crash of it.
+/// A request that is no longer sent to any endpoint because it crashes them.
 struct held_request {
   std::string service;
-  /// Endpoints that crashed while they ran it, in one text for operators.
+  /// Human-readable list of the endpoints that crashed while running it.
   std::string evidence;
   wall_time since;
-  revision_number revision = 0;  // that wrote it
+  revision_number revision = 0;  // of the change that held it
 };
 
-/// Holds a request back, or releases it. It is known by its fingerprint, which
-/// tells nothing of it without the peers' secret: it may be kept and told also
-/// outside the regions that the request is bound to.
+/// Holds a request, or releases it. The request is identified by its
+/// fingerprint, which reveals nothing about its content without the peers'
+/// secret and so may be stored and sent outside the regions to which the
+/// request is confined.
 struct request_hold {
   std::string fingerprint;
   bool held = true;
@@ -78,12 +80,13 @@
 json to_json(const request_hold& value);
 request_hold request_hold_from(const json& value);
 
-/// Held requests that are kept; of more, the oldest is let go.
+/// Maximum number of held requests. If it is exceeded, the oldest is released.
 inline constexpr std::size_t most_held_requests = 4096;
 
 template <typename T>
 using object_map = std::map<std::string, std::shared_ptr<const T>, std::less<>>;
 
+/// All configuration state at one revision.
 class object_store {
  public:
   revision_number revision() const { return revision_; }
@@ -100,44 +103,47 @@
   std::shared_ptr<const caller> caller_with_token(
       const std::string& sha256) const;
 
-  /// The specification of an object, or null when there is none.
+  /// The specification of an object, or null if it doesn't exist.
   const stored_spec* find_spec(object_kind kind, const std::string& name) const;
   const std::map<std::string, stored_spec>& specs(object_kind kind) const;
 
-  /// Writes or removes one object without checks across objects. Problems of
-  /// the specification itself are collected; then nothing is changed.
+  /// Writes or removes one object without checking references between objects.
+  /// If the specification is invalid, adds to `problems` and changes nothing.
   void put(const edit& change, revision_number revision,
            problem_list& problems);
   void set_revision(revision_number revision) { revision_ = revision; }
 
-  /// Remembers what `change` replaces, and forgets what is out of any window.
+  /// Keeps the specification that `change` replaces, and drops those that are
+  /// older than the longest key window. Call it before `put`.
   void remember_former(const edit& change, wall_time at);
 
-  /// References that lead nowhere, rules that permit nothing.
+  /// Adds references to missing objects and rules that permit no region.
   void check(problem_list& problems) const;
-  /// Selectors that match nothing: allowed, but worth telling.
+  /// Selectors that match nothing; allowed, but reported to the operator.
   std::vector<std::string> warnings() const;
 
-  /// The traffic plan in force, or null before the first one.
+  /// The traffic plan in force, or null if there is none yet.
   const plan_ptr& plan() const { return plan_; }
   void set_plan(plan_ptr plan) { plan_ = std::move(plan); }
 
-  /// Availability zones whose endpoints take no requests.
+  /// Availability zones whose endpoints receive no requests.
   const std::set<std::string>& evacuated_zones() const { return evacuated_; }
-  /// The change `revision` evacuates a zone or gives it back.
+  /// Applies the change at `revision`, which starts or ends an evacuation.
   void set_evacuated(const std::string& zone, bool evacuated,
                      revision_number revision);
-  /// The change that gave each availability zone back last. A watcher that
-  /// missed both changes of an evacuation learns from it that there was one.
+  /// For each availability zone, the revision at which its last evacuation
+  /// ended. It lets a watcher that missed both the start and the end of an
+  /// evacuation detect that there was one.
   const std::map<std::string, revision_number>& given_back() const {
     return given_back_;
   }
 
-  /// Requests that are held back, by fingerprint.
+  /// Held requests by fingerprint.
   const std::map<std::string, held_request>& held_requests() const {
     return held_requests_;
   }
-  /// The change `revision`, made at `at`, holds a request or releases it.
+  /// Applies the change at `revision`, made at `at`, which holds or releases a
+  /// request.
   void set_held(const request_hold& it, wall_time at, revision_number revision);
 
   json to_json(plan_form form = plan_form::whole) const;
@@ -162,7 +168,7 @@
   std::map<std::string, held_request> held_requests_;  // by fingerprint
 };
 
-/// The regions whose labels match, in order of name.
+/// The names of the regions whose labels match, sorted.
 std::vector<std::string> matching_regions(const object_store& store,
                                           const selector& conditions);
 
--- a/config/include/trestlepost/config/stored_copy.h
+++ b/config/include/trestlepost/config/stored_copy.h
@@ -1,5 +1,5 @@
-// A copy of the configuration in a node's data folder, so that a node that
-// restarts while it is cut off can still serve its own callers.
+// A copy of the configuration in a node's data folder. It lets a node that
+// restarts while it is partitioned from the control nodes serve its callers.
 #pragma once
 
 #include <filesystem>
@@ -8,11 +8,12 @@
 
 namespace trestlepost::config {
 
-/// Writes aside, syncs, renames and syncs the folder.
+/// Replaces the copy atomically: writes a temporary file, syncs and renames it,
+/// and syncs the folder.
 result<void> save_copy(const std::filesystem::path& folder,
                        const object_store& store);
 
-/// The copy, or an empty store when there is none or it is damaged.
+/// Reads the copy. Returns an empty store if there is none or it is damaged.
 object_store load_copy(const std::filesystem::path& folder);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/traffic_plan.h
+++ b/config/include/trestlepost/config/traffic_plan.h
@@ -1,6 +1,6 @@
-// The traffic plan: which requests go to which services, written whole by the
-// operators under a rising number. It is one value of the replicated
-// configuration, beside the objects that are written one by one.
+// The traffic plan: routes from hosts and paths to services. Operators replace
+// it as a whole, under increasing numbers. It is a single value in the
+// replicated configuration, next to the objects that are written individually.
 #pragma once
 
 #include <chrono>
@@ -19,16 +19,16 @@
 
 using plan_number = std::uint64_t;
 
-/// What may be done again with a request of a route.
+/// How often a request of a route may run.
 enum class route_kind {
   repeatable,  // may run more than once
   run_once,    // runs at most once
-  stream       // answered by events; runs at most once unless resumable
+  stream  // answered by an event stream; runs at most once unless resumable
 };
 
 std::string_view to_string(route_kind kind);
 
-/// One service of a split route.
+/// One service of a route that splits its requests.
 struct weighted_service {
   std::string service;
   std::uint32_t weight = 1;
@@ -36,27 +36,28 @@
   bool operator==(const weighted_service&) const = default;
 };
 
-/// Where the requests of one host below one path go.
+/// Maps the requests for one host and path prefix to services.
 struct route {
   std::string name;
   std::string host;
   std::string path_prefix;  // begins and ends with '/'
   route_kind kind = route_kind::run_once;
-  /// Longest time for which a request may be held.
+  /// Time limit for a request.
   std::chrono::milliseconds timeout{30'000};
-  /// Time within which an answer (of a stream: its first event) is on time.
+  /// Target latency of the answer (of a stream: of its first event).
   std::chrono::milliseconds latency_objective{0};
-  /// Longest pause between two events of a stream that is still on time; 0
-  /// when the route does not say.
+  /// Target for the longest gap between two events of a stream; 0 if the route
+  /// sets none.
   std::chrono::milliseconds longest_pause{0};
-  int priority = 0;       // 0 is the most urgent
-  unsigned attempts = 1;  // endpoints that one request may be sent to
-  /// Requests name the parts of their prompt, which endpoints keep.
+  int priority = 0;       // 0 is the highest priority
+  unsigned attempts = 1;  // maximum endpoints that one request is sent to
+  /// Requests identify the parts of their prompt, so that they can be routed to
+  /// endpoints that have these parts cached.
   bool prefix_affinity = false;
-  /// A stream may be continued at another endpoint.
+  /// A broken stream may be resumed at another endpoint.
   bool resumable = false;
-  std::vector<weighted_service> split;  // one at least
-  /// Regions that may serve, cache and store; empty: all.
+  std::vector<weighted_service> split;  // at least one
+  /// Regions that may serve, cache and store the requests; empty: all.
   std::vector<std::string> home_regions;
 
   bool may_repeat() const {
@@ -66,16 +67,16 @@
   bool operator==(const route&) const = default;
 };
 
-/// What the operators say of the model engine behind a service.
+/// Properties of the model engine behind a service, as set by the operators.
 struct engine_profile {
-  unsigned batch_slots = 1;       // requests that run at once
-  std::uint64_t kv_capacity = 0;  // tokens, running and cached together
-  double kv_token_bytes = 0;      // memory of one token
-  double link_mbps = 0;           // for copies between endpoints
-  bool moves = false;             // runs can be moved
-  bool backups = false;           // runs can be backed up as they grow
+  unsigned batch_slots = 1;       // requests that run concurrently
+  std::uint64_t kv_capacity = 0;  // KV cache tokens, running and cached
+  double kv_token_bytes = 0;      // KV cache memory per token
+  double link_mbps = 0;           // bandwidth of copies between endpoints
+  bool moves = false;             // runs can move to another endpoint
+  bool backups = false;           // runs can be backed up while they run
   unsigned tokens_per_event = 1;
-  unsigned most_event_watchers = 0;  // callers that may wait for cache events
+  unsigned most_event_watchers = 0;  // maximum subscribers to cache events
   std::chrono::milliseconds longest_pin{0};
   std::chrono::milliseconds longest_hold{0};
   std::chrono::milliseconds handle_lifetime{0};
@@ -83,20 +84,20 @@
   bool operator==(const engine_profile&) const = default;
 };
 
-/// A service as the plan knows it; its endpoints come from the directory.
+/// A service as defined by the plan. Its endpoints come from the directory.
 struct planned_service {
   std::string name;
   std::string health_path;
-  unsigned most_connections = 0;  // to one endpoint, from all nodes together
-  /// How long an endpoint stays cold after a start.
+  unsigned most_connections = 0;  // maximum per endpoint, from all nodes
+  /// Time for which an endpoint stays cold after a start.
   std::chrono::milliseconds warmup{0};
-  double cold_requests_per_second = 0;  // that a cold endpoint bears; 0: any
+  double cold_requests_per_second = 0;  // limit of a cold endpoint; 0: none
   std::optional<engine_profile> engine;
 
   bool operator==(const planned_service&) const = default;
 };
 
-/// What callers may send, and how long they may take.
+/// Size and time limits for requests of callers.
 struct request_limits {
   std::size_t header_bytes = 16UL * 1024;
   std::size_t body_bytes = 8UL * 1024 * 1024;
@@ -106,12 +107,13 @@
   bool operator==(const request_limits&) const = default;
 };
 
+/// A complete plan: all routes, services and limits.
 struct traffic_plan {
   plan_number number = 0;
   std::vector<route> routes;
   std::vector<planned_service> services;
   request_limits limits;
-  /// The document as the operator sent it, given back on reads. Only control
+  /// The document as the operator sent it, returned on reads. Only control
   /// nodes keep it.
   std::string document;
 
@@ -120,7 +122,7 @@
 
 using plan_ptr = std::shared_ptr<const traffic_plan>;
 
-/// Whether `document` is included.
+/// Whether the JSON form includes `document`.
 enum class plan_form { whole, without_document };
 
 json to_json(const route& value);
@@ -133,8 +135,9 @@
 json to_json(const traffic_plan& value, plan_form form);
 result<traffic_plan> traffic_plan_from(const json& value);
 
-/// The first thing that is wrong with a plan: an unknown service, two routes
-/// at one place, weights that sum to 0, a timeout of 0, a bad prefix.
+/// Validates a plan and returns the first error: an unnamed, duplicate or
+/// unknown service, two routes with the same host and path prefix, weights that
+/// sum to 0, a timeout of 0, a missing host, or a malformed path prefix.
 result<void> check_plan(const traffic_plan& value);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/watch_update.h
+++ b/config/include/trestlepost/config/watch_update.h
@@ -1,4 +1,5 @@
-// What brings the configuration of a watcher forward.
+// Updates that bring a watcher's copy of the configuration up to date, and how
+// they are applied.
 #pragma once
 
 #include <memory>
@@ -15,21 +16,21 @@
   revision_number revision = 0;
   wall_time at;
   std::vector<edit> edits;
-  /// From the plan of the revision before to a new one; null when the plan
-  /// stays.
+  /// The difference from the plan of the previous revision; null if the plan
+  /// doesn't change.
   std::shared_ptr<const plan_delta> plan;
   std::optional<zone_evacuation> evacuation;
   std::optional<request_hold> hold;
 
-  /// Objects and routes that it names.
+  /// The number of objects and routes that it changes.
   std::size_t size() const;
 };
 
-/// What brings a watcher from one revision to the newest.
+/// Updates a watcher from one revision to the newest one.
 struct watch_update {
   revision_number to = 0;
   std::vector<applied_change> changes;
-  std::optional<json> whole;  // set when the watcher is too far behind
+  std::optional<json> whole;  // set if the watcher is too far behind
 };
 
 json to_json(const applied_change& value);
@@ -37,15 +38,16 @@
 json to_json(const watch_update& value);
 result<watch_update> watch_update_from(const json& value);
 
-/// Whether `update` says more than which revision is the newest.
+/// Whether `update` (JSON) contains changes or a whole configuration, and not
+/// only the number of the newest revision.
 bool has_content(const json& update);
 
-/// Writes `it` to `store`, which must be at the revision before.
+/// Applies one change to `store`, which must be at the previous revision.
 void apply_to(object_store& store, const applied_change& it,
               problem_list& problems);
 
-/// Brings `store` forward. An update that would lead back, or that leaves a
-/// gap, is refused and changes nothing.
+/// Applies `update` to `store`. Changes that `store` already has are skipped.
+/// Fails with `configuration_behind` if revisions are missing in between.
 result<void> apply_update(object_store& store, const watch_update& update);
 
 }  // namespace trestlepost::config
--- a/config/src/change.cc
+++ b/config/src/change.cc
@@ -21,7 +21,8 @@
     {change_status::mismatch, "mismatch"},
 }};
 
-// As much as a message between control nodes may hold.
+// Maximum size of an unpacked change; equals the maximum message size between
+// control nodes.
 constexpr std::size_t most_command_bytes = 64UL * 1024 * 1024;
 
 json ms_of(wall_time at) {
@@ -121,7 +122,7 @@
   if (hold.isObject()) out.hold = request_hold_from(hold);
   if (out.id.empty()) {
     return fail(error_kind::bad_input, "the change has no id",
-                "give --change-id, or let `trestlepost apply` draw one");
+                "set --change-id, or let `trestlepost apply` generate one");
   }
   return out;
 }
@@ -134,7 +135,8 @@
   const std::optional<std::string> text =
       unpack_printable(command, most_command_bytes);
   if (!text) {
-    return fail(error_kind::corrupt, "a change of the log does not unpack",
+    return fail(error_kind::corrupt,
+                "a change in the log cannot be decompressed",
                 "run the version of trestlepostd that wrote it");
   }
   const result<json> parsed = parse_json(*text);
@@ -201,8 +203,8 @@
   asked["edits"] = std::move(edits);
   if (value.founding) asked["founding"] = to_json(*value.founding);
   if (value.plan) {
-    // The document says all; writing the routes out as well took 32 ms of a
-    // core for 4,000 of them.
+    // The document identifies the plan. Serializing the routes as well costs
+    // 32 ms of CPU time for 4,000 routes.
     const bool sent = !value.plan->document.empty();
     if (sent) asked["document"] = sha256_hex(value.plan->document);
     if (!sent) asked["plan"] = to_json(*value.plan, plan_form::whole);
--- a/config/src/content_delivery.cc
+++ b/config/src/content_delivery.cc
@@ -5,8 +5,9 @@
 namespace trestlepost::config {
 namespace {
 
-// A link that was squeezed for long must not hold copies of one change by the
-// dozen, and a watcher that comes back must not wait for long.
+// Upper limit of the doubled timeouts: long enough that a slow link does not
+// queue dozens of copies of one change, short enough that a watcher that
+// reconnects is updated soon.
 constexpr std::chrono::milliseconds most_patience{16'000};
 
 }  // namespace
--- a/config/src/objects.cc
+++ b/config/src/objects.cc
@@ -27,7 +27,8 @@
 constexpr std::uint64_t largest_port = 65535;
 constexpr std::size_t sha256_hex_size = 64;
 
-/// Reads the parts that every object has; `own_label` is added to the labels.
+/// Reads the fields that all objects have, and adds the label
+/// `own_label`=NAME.
 std::string read_common(object_reader& reader, label_map& labels,
                         const char* own_label) {
   std::string name = reader.text("name");
--- a/config/src/plan_edit.cc
+++ b/config/src/plan_edit.cc
@@ -8,7 +8,8 @@
 namespace trestlepost::config {
 namespace {
 
-// As much as a message between control nodes may hold.
+// Maximum size of a plan document; equals the maximum message size between
+// control nodes.
 constexpr std::size_t most_document_bytes = 64UL * 1024 * 1024;
 
 }  // namespace
@@ -37,7 +38,7 @@
   if (!document) {
     return fail(error_kind::corrupt,
                 "the document of plan " + std::to_string(edit.delta.number) +
-                    " does not follow from that of plan " +
+                    " cannot be derived from the document of plan " +
                     std::to_string(edit.base),
                 "run one version of trestlepostd on all nodes");
   }
--- a/config/src/route_list.cc
+++ b/config/src/route_list.cc
@@ -8,7 +8,7 @@
 namespace trestlepost::config {
 namespace {
 
-// Values of one route in "at".
+// Number of values per route in "at": index, name, host and path prefix.
 constexpr Json::ArrayIndex values_per_route = 4;
 
 template <typename T>
@@ -17,7 +17,7 @@
   seed ^= std::hash<T>()(value) + golden_ratio + (seed << 6U) + (seed >> 2U);
 }
 
-/// Of all but the name and the place.
+/// Hash of all fields except name, host and path prefix.
 std::size_t hash_of_terms(const route& it) {
   std::size_t out = 0;
   combine(out, it.kind);
@@ -36,6 +36,7 @@
   return out;
 }
 
+/// Whether two routes differ only in name, host and path prefix.
 bool same_terms(const route& a, const route& b) {
   return a.kind == b.kind && a.timeout == b.timeout &&
          a.latency_objective == b.latency_objective &&
@@ -45,7 +46,7 @@
          a.home_regions == b.home_regions;
 }
 
-/// Numbers routes by what they share.
+/// Assigns one index to all routes with the same settings.
 class route_terms {
  public:
   Json::UInt number_of(const route& it) {
--- a/config/src/state_machine.cc
+++ b/config/src/state_machine.cc
@@ -9,8 +9,9 @@
 namespace trestlepost::config {
 namespace {
 
-// Far above the state of the largest deployment that is planned for, some
-// 100 MB; a damaged length must not take all memory.
+// Maximum size of an unpacked snapshot. The largest planned deployment has
+// about 100 MB of state; the limit keeps a corrupt length field from exhausting
+// the memory.
 constexpr std::size_t most_snapshot_bytes = 1024UL * 1024 * 1024;
 
 change_result refusal(change_status status, revision_number revision,
@@ -93,10 +94,10 @@
   if (edit.base != held_number()) {
     return refusal(change_status::conflict, store_.revision(),
                    "plan " + std::to_string(held_number()) +
-                       " holds, not plan " + std::to_string(edit.base) +
-                       ", from which plan " +
-                       std::to_string(edit.delta.number) + " was made",
-                   "make the change anew from the plan that holds");
+                       " is in force, not plan " + std::to_string(edit.base) +
+                       ", on which plan " + std::to_string(edit.delta.number) +
+                       " is based",
+                   "recreate the change from the plan in force");
   }
   result<traffic_plan> next = apply_plan_edit(store_.plan().get(), edit);
   const result<void> sound =
@@ -115,11 +116,12 @@
 }
 
 change_result config_state_machine::plan_stays() const {
-  return {change_status::accepted,
-          store_.revision(),
-          "plan " + std::to_string(held_number()) + " holds; nothing changed",
-          "",
-          {}};
+  return {
+      change_status::accepted,
+      store_.revision(),
+      "plan " + std::to_string(held_number()) + " is in force; nothing changed",
+      "",
+      {}};
 }
 
 change_result config_state_machine::take_plan(const change& asked,
@@ -243,7 +245,7 @@
                        ", after the revision " + std::to_string(*it.base) +
                        " that this change was made from",
                    "read it again with `trestlepost get " + what +
-                       "`, make the change anew, and apply it under a new "
+                       "`, recreate the change, and apply it under a new "
                        "--change-id");
   }
   return std::nullopt;
@@ -276,7 +278,7 @@
   if (!problems.empty()) {
     return refusal(change_status::invalid, store_.revision(),
                    problems.to_text("change"),
-                   "mend the objects named and apply again under a new "
+                   "correct the named objects and apply again under a new "
                    "--change-id");
   }
   applied_change accepted{next, asked.at, asked.edits, nullptr, {}, {}};
@@ -290,7 +292,7 @@
 void config_state_machine::trim_history() {
   std::size_t size = 0;
   for (const applied_change& it : history_) size += it.size();
-  // A watcher that is further behind gets the whole configuration.
+  // A watcher that is further behind is sent the whole configuration.
   while (history_.size() > limits_.history ||
          (size > limits_.history_edits && history_.size() > 1)) {
     size -= history_.front().size();
@@ -351,7 +353,8 @@
     const bool counts = it.revision > from && it.plan;
     if (counts) routes += it.plan->size();
   }
-  // Many small changes may name more routes than there are.
+  // Many small changes can name more routes in total than the plan has; then
+  // the whole configuration is smaller.
   const bool shorter = !store_.plan() || routes <= store_.plan()->routes.size();
   if (!covered || !shorter) {
     out.whole = store_.to_json(plan_form::without_document);
@@ -422,8 +425,8 @@
     result<applied_change> one = applied_change_from(it);
     if (one) history_.push_back(std::move(*one));
   }
-  // Changes that lead from an earlier revision to this one, or none: those who
-  // are behind get the whole configuration then.
+  // The history must end at the revision of the store. Otherwise it is dropped,
+  // and watchers that are behind are sent the whole configuration.
   const bool sound =
       !history_.empty() && history_.back().revision == store_.revision();
   if (!sound) history_.clear();
--- a/config/src/store.cc
+++ b/config/src/store.cc
@@ -41,7 +41,7 @@
   const json& base = member_of(value, "base");
   if (base.isUInt64()) out.base = base.asUInt64();
   if (out.name.empty()) {
-    return fail(error_kind::bad_input, "an edit names no object",
+    return fail(error_kind::bad_input, "an edit has no object name",
                 "give every object a \"name\"");
   }
   return out;
@@ -176,7 +176,7 @@
          former_.front().replaced_at + longest_key_window < at) {
     former_.pop_front();
   }
-  // Endpoints do not decide where a request's record is kept.
+  // The region that keeps a request's record doesn't depend on endpoints.
   if (change.kind == object_kind::endpoint) return;
   const stored_spec* old = find_spec(change.kind, change.name);
   former_.push_back(
@@ -328,7 +328,7 @@
   }
   if (!problems.empty()) {
     return fail(error_kind::corrupt,
-                "a stored configuration does not read: " +
+                "a stored configuration cannot be read: " +
                     problems.to_text("configuration"),
                 "run the version of trestlepostd that wrote it");
   }
--- a/config/src/traffic_plan.cc
+++ b/config/src/traffic_plan.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr char plan_remedy[] = "mend the plan and send it again";
+constexpr char plan_remedy[] = "correct the plan and send it again";
 
 milliseconds duration_of(const json& value, const char* key) {
   return milliseconds(static_cast<std::int64_t>(number_of(value, key)));
@@ -91,7 +91,7 @@
   for (const weighted_service& one : it.split) {
     if (plan.find_service(one.service) == nullptr) {
       return invalid("route " + it.name + " names the service " + one.service +
-                     ", which the plan does not hold");
+                     ", which the plan does not define");
     }
     sum += one.weight;
   }
@@ -135,8 +135,8 @@
 }
 
 json to_json(const route& value) {
-  // What has the value that a missing member reads as is left out: a plan of
-  // thousands of routes is half as long.
+  // Fields with their default value are omitted, which halves the size of a
+  // plan with thousands of routes.
   json out;
   out["name"] = value.name;
   out["host"] = value.host;
@@ -254,7 +254,8 @@
     result<void> sound = check_route(value, it);
     if (!sound) return sound;
     if (!places.insert({it.host, it.path_prefix}).second) {
-      return invalid("two routes stand at " + it.host + it.path_prefix);
+      return invalid("two routes have the host and path prefix " + it.host +
+                     it.path_prefix);
     }
   }
   return {};
--- a/config/src/watch_update.cc
+++ b/config/src/watch_update.cc
@@ -105,9 +105,9 @@
     if (it.revision <= store.revision()) continue;
     if (it.revision != store.revision() + 1) {
       return fail(error_kind::configuration_behind,
-                  "the update leaves a gap after revision " +
+                  "the update skips revisions after revision " +
                       std::to_string(store.revision()),
-                  "ask again from that revision");
+                  "poll again from that revision");
     }
     apply_to(store, it, problems);
   }
--- a/config/test/confirmation_tracker-test.cc
+++ b/config/test/confirmation_tracker-test.cc
@@ -1,3 +1,4 @@
+// Tests which revisions are confirmed and the measured times.
 #include "trestlepost/config/confirmation_tracker.h"
 
 #include <gtest/gtest.h>
--- a/config/test/content_delivery-test.cc
+++ b/config/test/content_delivery-test.cc
@@ -1,4 +1,4 @@
-// Which changes a watcher is sent, and when again.
+// Tests which changes a watcher is sent, and when they are sent again.
 #include "trestlepost/config/content_delivery.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   it.holds(3, at(0));
   EXPECT_EQ(it.due(4, at(0)), 3U);
   it.sent(4, at(0));
-  // Polls that were under way name the old revision.
+  // Polls that were sent before the update arrived report the old revision.
   for (int ms = 0; ms < 1900; ms += 50) {
     it.holds(3, at(ms));
     EXPECT_EQ(it.due(4, at(ms)), nothing) << ms;
@@ -41,7 +41,7 @@
   content_delivery it;
   it.holds(3, at(0));
   it.sent(4, at(0));
-  // Changes in quick succession must not put this off.
+  // Further changes must not extend the timeout.
   it.sent(5, at(1500));
   EXPECT_FALSE(it.is_repeat(at(1900)));
   EXPECT_EQ(it.due(5, at(2000)), 3U);
@@ -52,7 +52,7 @@
   EXPECT_EQ(it.due(5, at(6000)), 3U);
 }
 
-// A link that is slow for a while must not be filled with copies of one change.
+// Guards against filling a slow link with copies of one change.
 TEST(content_delivery_test, each_repeat_waits_twice_as_long) {
   content_delivery it;
   it.holds(3, at(0));
@@ -63,9 +63,9 @@
     ++copies;
   }
   EXPECT_LE(copies, 8);
-  // It still comes again: 16 s later at most.
+  // It is still sent again, at most 16 s later.
   EXPECT_EQ(it.due(4, at(60'000 + 16'000)), 3U);
-  // Once the watcher gets on, the next loss is found as soon as the first.
+  // Progress of the watcher resets the timeout to its initial value.
   it.holds(4, at(80'000));
   it.sent(5, at(80'000));
   EXPECT_EQ(it.due(5, at(82'000)), 4U);
@@ -89,7 +89,7 @@
   EXPECT_EQ(it.due(5, at(10)), 3U);
   it.sent(5, at(10));
   it.holds(5, at(500));
-  // It started anew without a disk.
+  // The watcher restarted without its disk.
   it.holds(0, at(600));
   EXPECT_EQ(it.due(5, at(600)), 0U);
 }
--- a/config/test/control_machine.cc
+++ b/config/test/control_machine.cc
@@ -7,8 +7,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds join_interval{400};  // as in the daemon
-constexpr std::size_t snapshot_every = 20;  // so that many are taken
+constexpr milliseconds join_interval{400};  // same as in the daemon
+constexpr std::size_t snapshot_every = 20;  // entries; low, to take many
 
 }  // namespace
 
@@ -177,7 +177,7 @@
 
 void control_machine::read(std::function<void()> ready) {
   guarded([this, &ready] {
-    // Refused when it does not lead: then nothing is shown.
+    // Fails if this machine doesn't lead; then `ready` is never called.
     process_->host->request_read(local_now, process_->next_read++, ready);
   });
 }
--- a/config/test/control_machine.h
+++ b/config/test/control_machine.h
@@ -1,6 +1,6 @@
-// One simulated machine of the control group: its disk outlives its process.
-// It runs the shipped group_host, group_growth and config_state_machine; what
-// the daemon does around them with sockets is done here with letters.
+// A simulated machine of the control group, whose disk survives its process. It
+// runs the production classes group_host, group_growth and
+// config_state_machine; messages in memory replace the daemon's sockets.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,8 @@
 
 namespace trestlepost::config::test {
 
-/// A message between replicas, or the question of a node to be taken in.
+/// A message between two machines: a consensus message, or a join request if
+/// `message` is unset.
 struct letter {
   std::string from_machine;
   std::string from_address;
@@ -27,13 +28,13 @@
   bool passed_on = false;
 };
 
-/// The configuration, with an observer of what is applied and in force.
+/// The configuration state machine with callbacks for the simulation's checks.
 class plan_machine final : public consensus::state_machine {
  public:
   std::function<void(const consensus::entry&)> on_applied;
   std::function<void()> on_loaded;
   std::function<void(const audit_record&)> on_decided;
-  /// Broken on purpose: the plan that came last holds, whatever its number.
+  /// Fault injection: the latest plan is put in force regardless of its number.
   bool skip_number_check = false;
 
   plan_machine() { renew(); }
@@ -48,17 +49,18 @@
   std::unique_ptr<config_state_machine> inner_;
 };
 
-/// How a machine runs its replica.
+/// Settings of a machine and its replica.
 struct machine_options {
   consensus::replica_options replica;
   std::size_t tolerated_losses = 2;
-  /// Broken on purpose: the first acknowledgement waits for no voters.
+  /// Fault injection: plans are acknowledged before the group has grown to
+  /// enough voters.
   bool acknowledge_early = false;
   bool skip_number_check = false;
 };
 
-/// One machine: started, stopped, moved and deprived of its disk by the
-/// simulation.
+/// One machine. The simulation starts and stops it, changes its address and
+/// erases its disk.
 class control_machine final : public consensus::message_sink {
  public:
   control_machine(std::string name, std::string address,
@@ -71,7 +73,8 @@
   std::function<void()> on_crash;
 
   void start(const machine_options& options, random_source& random);
-  /// Founds a group alone, as the first seed of a first start does.
+  /// Founds a group with this machine as its only member, as the first seed
+  /// does on its first start.
   void found(const std::string& group_id);
   void stop();
   void lose_disk(std::uint64_t incarnation);
@@ -81,9 +84,11 @@
 
   bool leads() const;
   bool may_acknowledge() const;
-  /// Runs `decided` once the change is decided here, if ever.
+  /// Proposes a change. `decided` is called when the change is decided on this
+  /// machine; it may never be called.
   void propose(const change& asked,
                std::function<void(const change_result&)> decided);
+  /// Requests a linearizable read; `ready` is called when it is confirmed.
   void read(std::function<void()> ready);
 
   consensus::replica_id id() const { return {name, disk.incarnation}; }
@@ -94,10 +99,10 @@
   std::string name;
   std::string address;
   consensus::test::simulated_disk disk;
-  int frozen_until = 0;
-  int down_until = 0;
-  int clock_percent = 100;
-  bool present = true;  // false: not there yet, or taken away for good
+  int frozen_until = 0;     // step of the simulation
+  int down_until = 0;       // step of the simulation
+  int clock_percent = 100;  // speed of the local clock
+  bool present = true;      // false: not added yet, or removed permanently
   monotonic_time local_now;
 
  private:
@@ -111,7 +116,7 @@
     monotonic_time next_join;
   };
 
-  /// Runs `action`; the process ends when its disk says so meanwhile.
+  /// Runs `action`. If the simulated disk raises a crash, stops the process.
   void guarded(const std::function<void()>& action);
   void take_join(const letter& in);
   void post_join(const std::string& to, const consensus::replica_id& joiner,
--- a/config/test/growth_simulation-test.cc
+++ b/config/test/growth_simulation-test.cc
@@ -1,5 +1,6 @@
-// Growth from one seed, exchanged machines and racing plans under faults; and
-// what the properties say when one mechanism is left out.
+// Checks the simulated control group under faults: growth from one seed,
+// replaced machines and concurrent plans. Also checks that the properties
+// detect a group in which one safety mechanism is disabled.
 #include "growth_simulation.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,7 @@
 
 constexpr std::uint64_t seeds_for_broken_mechanisms = 150;
 
-/// Whether this property catches the broken group, at one of the seeds.
+/// Whether a run with `options` violates `property` for at least one seed.
 bool is_caught_by(const std::string& property, growth_options options) {
   for (std::uint64_t seed = 1; seed <= seeds_for_broken_mechanisms; ++seed) {
     options.seed = seed;
@@ -90,8 +91,8 @@
   EXPECT_TRUE(is_caught_by(nothing_lost, options));
 }
 
-// A node that does not lead shows its copy once it has applied as much as the
-// leader that confirmed the read.
+// A follower may answer a read only after it has applied as much as the leader
+// that confirmed the read.
 TEST(growth_simulation_test, a_copy_that_is_shown_at_once_is_caught) {
   growth_options options;
   options.reads = read_mode::copy_at_once;
--- a/config/test/growth_simulation.cc
+++ b/config/test/growth_simulation.cc
@@ -15,18 +15,20 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds step_time{20};
-constexpr int steps_of_young_group = 200;  // 4 s, in which machines are new
-constexpr int steps_to_converge = 3000;
-constexpr int answer_steps = 30;         // 0.6 s
-constexpr int seed_list_interval = 150;  // the platform's list lags by 3 s
+constexpr int steps_of_young_group = 200;  // 4 s without random faults
+constexpr int steps_to_converge = 3000;    // 60 s
+constexpr int answer_steps = 30;           // 0.6 s
+constexpr int seed_list_interval =
+    150;  // 3 s, the delay of the platform's list
 constexpr std::size_t seed_count = 3;
-// Faults are drawn from so many equally likely ones.
+// Number of equally likely choices in inject_fault.
 constexpr int fault_choices = 14;
 constexpr int longest_kill = 150;  // steps: 3 s
-// Longer (6 s) than the silence after which a voter counts as gone.
+// 300 steps (6 s) are longer than the time without messages after which a voter
+// counts as failed.
 constexpr int longest_freeze = 300;
 
-/// A message on its way.
+/// A message and the step at which it is delivered.
 struct parcel {
   letter content;
   int due_step = 0;
@@ -110,7 +112,7 @@
     seeds_.push_back(machines_[i]->address);
   }
   operators_.on_acknowledged = [this] {
-    // A loss that strikes right after an acknowledgement.
+    // Erases disks immediately after an acknowledgement.
     loss_due_ = loss_due_ || random_.below(100) < 15;
   };
   start(*machines_.front());
@@ -145,7 +147,7 @@
     groups_.insert(group);
     seed.found(group);
   }
-  if (groups_.size() > 1) add(one_group, seed.name + " founded another");
+  if (groups_.size() > 1) add(one_group, seed.name + " founded a second group");
 }
 
 void growth_simulation::post(const letter& out) {
@@ -193,8 +195,8 @@
 }
 
 bool growth_simulation::may_lose_disks() const {
-  // The young group: all machines were in touch ever since the founding, so
-  // the losses must be borne whatever the group thinks of itself.
+  // Before the first fault all machines have been connected since the founding,
+  // so the group must tolerate the losses regardless of its membership.
   if (!disturbed_ && operators_.acknowledged() > 0) return true;
   return all_taken_in();
 }
@@ -209,7 +211,7 @@
   it.lose_disk(options_.reuse_incarnation ? former : 100 + next_incarnation_++);
   kill(it, 100);
   if (random_.below(3) != 0) return;
-  // Another machine under the same name.
+  // A replacement machine with the same name.
   it.address = "address " + std::to_string(next_address_++);
   ++outcome_.replaced;
 }
@@ -229,12 +231,12 @@
   ++outcome_.losses_at_once;
   disturbed_ = true;
   if (random_.below(3) != 0) return;
-  for (control_machine* it : left) kill(*it, 50);  // power, too
+  for (control_machine* it : left) kill(*it, 50);  // a power failure
 }
 
 void growth_simulation::move(control_machine& it) {
-  // One after the other: of members that all moved at once, none would know
-  // where another is.
+  // Only one machine moves at a time: if all members moved at once, none would
+  // know the address of another.
   if (!all_taken_in()) return;
   kill(it, 50);
   it.address = "address " + std::to_string(next_address_++);
@@ -255,7 +257,7 @@
     spare.present = true;
     return;
   }
-  // One machine is taken away for good once its successor is in the group.
+  // One machine is removed permanently once its successor is in the group.
   if (outcome_.retired > 0 || !spare.present || !all_taken_in()) return;
   control_machine& leaving = any();
   leaving.stop();
@@ -312,7 +314,7 @@
   for (const machine_ptr& it : machines_) {
     if (awake(*it)) reachable.push_back(it.get());
   }
-  // Operators follow the leader's name most of the time.
+  // Operators know the leader most of the time.
   control_machine* leader = lease_holder();
   const bool knows = leader != nullptr && random_.below(4) != 0;
   if (knows && awake(*leader)) reachable = {leader};
@@ -412,7 +414,7 @@
   heal();
   bool converged = converges();
   if (converged) {
-    // Power fails everywhere: what only processes knew is gone.
+    // Power failure of all machines: state that isn't on disk is lost.
     for (const machine_ptr& it : machines_) kill(*it, 50);
     converged = converges();
   }
@@ -422,8 +424,8 @@
         const plan_ptr plan = it->running() ? it->machine().plan() : nullptr;
         return plan && plan->number >= operators_.acknowledged();
       });
-  if (!held) add(nothing_lost, "no machine holds what was acknowledged");
-  add(convergence, "the group does not hold all machines");
+  if (!held) add(nothing_lost, "no machine has the acknowledged plan");
+  add(convergence, "not all machines are members of the group");
 }
 
 growth_outcome growth_simulation::run() {
--- a/config/test/growth_simulation.h
+++ b/config/test/growth_simulation.h
@@ -1,6 +1,7 @@
-// A control group that one seed founds and that grows by joins, under faults:
-// machines move, lose their disks, are replaced and taken away, while operators
-// race with numbered plans. All faults come from one seed.
+// Deterministic simulation of a control group that one seed founds and that
+// grows by joins, under faults: machines change addresses, lose their disks,
+// are replaced and removed, while operators submit numbered plans concurrently.
+// The random seed determines all faults.
 #pragma once
 
 #include <cstddef>
@@ -12,51 +13,53 @@
 
 namespace trestlepost::config::test {
 
-// The properties of the group, as they are reported.
+// The checked properties of the group, as named in violations.
 inline constexpr char one_group[] = "at most one group is founded";
-inline constexpr char one_leader[] = "one leader a term";
+inline constexpr char one_leader[] = "one leader per term";
 inline constexpr char one_lease[] = "one lease at a time";
-inline constexpr char convergence[] = "all machines are taken in";
+inline constexpr char convergence[] = "all machines are members";
 
-/// What one run does; the same options give the same run.
+/// Options of a run; equal options give identical runs.
 struct growth_options {
   std::uint64_t seed = 1;
   int steps = 1000;
   std::size_t tolerated_losses = 2;
   int clock_spread_percent = 3;
 
-  // Broken on purpose:
-  bool acknowledge_early = false;  // no wait for voters
-  bool reuse_incarnation = false;  // a lost disk comes back under its name
-  bool skip_number_check = false;  // the plan that came last holds
-  bool found_at_every_start = false;
+  // Fault injection:
+  bool acknowledge_early = false;  // don't wait for enough voters
+  bool reuse_incarnation = false;  // a machine with an erased disk keeps its id
+  bool skip_number_check = false;  // the latest plan is in force
+  bool found_at_every_start = false;  // instead of at the first start only
   read_mode reads = read_mode::shipped;
 };
 
-/// A property that did not hold, and what was seen.
+/// A violated property, and a description of what was observed.
 struct violation {
   std::string property;
   std::string what;
 };
 
-/// What a run found, and how much of each fault it had.
+/// The violations of a run, and how often each event occurred.
 struct growth_outcome {
   std::vector<violation> violations;
   std::size_t acknowledged = 0;
   std::size_t reads = 0;
   std::size_t leaders = 0;
-  std::size_t losses_at_once = 0;         // as many disks as are tolerated
-  std::size_t losses_of_young_group = 0;  // right after its first changes
+  std::size_t losses_at_once = 0;         // of as many disks as are tolerated
+  std::size_t losses_of_young_group = 0;  // before any other fault
   std::size_t moves = 0;
   std::size_t replaced = 0;
   std::size_t retired = 0;
   std::size_t largest_group = 0;
 
+  /// Whether `property` was violated.
   bool broke(const std::string& property) const;
 };
 
-/// Runs a schedule of faults, then heals everything and waits until the group
-/// holds all machines at their addresses and a last plan is read everywhere.
+/// Runs a schedule of faults, then removes all faults and checks that the group
+/// converges: all machines are members at their current addresses, and a final
+/// plan is acknowledged and read.
 growth_outcome simulate_growth(const growth_options& options);
 
 }  // namespace trestlepost::config::test
--- a/config/test/hold_tracker-test.cc
+++ b/config/test/hold_tracker-test.cc
@@ -1,3 +1,4 @@
+// Tests which holds and releases are reported between revisions.
 #include "trestlepost/config/hold_tracker.h"
 
 #include <gtest/gtest.h>
--- a/config/test/plan_delta-test.cc
+++ b/config/test/plan_delta-test.cc
@@ -1,4 +1,4 @@
-// What is sent of a plan that follows another, and what comes of it.
+// Tests the differences between plans, their size, and updates of watchers.
 #include "trestlepost/config/plan_delta.h"
 
 #include <gtest/gtest.h>
--- a/config/test/plan_edit-test.cc
+++ b/config/test/plan_edit-test.cc
@@ -1,4 +1,4 @@
-// Plans in the log: as edits of the plan before.
+// Tests plans that are stored in the log as edits of the previous plan.
 #include "trestlepost/config/plan_edit.h"
 
 #include <gtest/gtest.h>
@@ -107,7 +107,8 @@
   EXPECT_EQ(machine.store().plan()->number, 1U);
 }
 
-// Guards against entries, and turns of a leader, that grow with the whole plan.
+// Guards against log entries, and event loop iterations of the leader, whose
+// size and duration grow with the whole plan.
 TEST(plan_edit_test, a_small_change_of_a_large_plan_is_a_small_entry) {
   constexpr std::size_t most_bytes = 2000;
   const traffic_plan before = plan_of(1, 6000);
--- a/config/test/plan_operators.cc
+++ b/config/test/plan_operators.cc
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 
 constexpr char invalid_mark[] = "invalid";
-// Makes the plans invalid that name it.
+// No plan defines this service, so a plan that refers to it is invalid.
 constexpr char unknown_service[] = "none";
 
 plan_number number_in_force(const control_machine& it) {
@@ -65,7 +65,8 @@
   };
   if (random_.below(3) == 0) {
     control_machine& from = draw();
-    // Not drawn, so that a seed's schedule stays what it was.
+    // Alternates instead of being drawn, so that the schedules of existing
+    // seeds don't change.
     const bool copy = ++reads_begun_ % 2 == 0;
     if (copy) {
       read_copy(from, *reachable[reads_begun_ / 2 % reachable.size()]);
@@ -87,15 +88,16 @@
 }
 
 void plan_operators::send(control_machine& to, const plan_ptr& plan) {
-  // As the daemon: checked at once, and again where the log is applied. Half
-  // of the invalid ones skip the first check.
+  // The daemon validates a plan on receipt and again when it applies the log.
+  // Half of the invalid plans skip the first check.
   const bool unchecked = random_.below(2) == 0;
   if (!unchecked && !check_plan(*plan)) return;
   if (!to.may_acknowledge()) return;
   change asked;
   asked.id = "order-" + std::to_string(next_id_++);
   asked.operator_name = "operator";
-  // As the daemon proposes it, and as logs of earlier versions hold it.
+  // Alternates between edits, as the daemon proposes them, and whole plans, as
+  // in logs of earlier versions.
   const bool edits = ++sends_ % 2 == 0;
   if (edits) {
     asked.edited_plan = std::make_shared<const plan_edit>(
@@ -104,7 +106,7 @@
     asked.plan = plan;
   }
   to.propose(asked, [this, plan, edits](const change_result& outcome) {
-    // Another plan came first: the daemon makes the edit anew.
+    // Another plan was committed first. The daemon would recreate the edit.
     if (edits && outcome.status == change_status::conflict) return;
     answered(plan, outcome, edits);
   });
@@ -114,7 +116,8 @@
                               const change_result& outcome, bool edits) {
   const bool valid = !plan->document.starts_with(invalid_mark);
   const bool accepted = outcome.status == change_status::accepted;
-  // An edit to a number that is passed is not looked at any further.
+  // An edit with a number that is not above the current one is accepted without
+  // validation.
   const bool passed = edits && !valid && plan->number <= highest_;
   if (accepted != valid && !passed) {
     violation_(no_invalid_plan, plan->document + " was answered with " +
--- a/config/test/plan_operators.h
+++ b/config/test/plan_operators.h
@@ -1,5 +1,6 @@
-// Operators that race with numbered traffic plans, and what must hold of the
-// plans: the highest number that was accepted is in force everywhere.
+// Simulated operators that concurrently submit numbered traffic plans and read
+// them, and the checks of the main invariant: the plan with the highest
+// accepted number is in force on every machine.
 #pragma once
 
 #include <cstddef>
@@ -14,21 +15,23 @@
 
 namespace trestlepost::config::test {
 
-/// Where violations are reported: which property, and what was seen.
+/// Receives violations: the property, and a description of what was observed.
 using report =
     std::function<void(const std::string& property, const std::string& what)>;
 
-// The properties of plans, as they are reported.
-inline constexpr char highest_number_holds[] = "the highest number holds";
-inline constexpr char one_content[] = "one content under a number";
-inline constexpr char nothing_lost[] = "nothing acknowledged is lost";
+// The checked properties of plans, as named in violations.
+inline constexpr char highest_number_holds[] = "the highest number is in force";
+inline constexpr char one_content[] = "one content per number";
+inline constexpr char nothing_lost[] = "no acknowledged plan is lost";
 inline constexpr char no_invalid_plan[] = "no invalid plan is in force";
-inline constexpr char same_log[] = "the same log everywhere";
+inline constexpr char same_log[] = "all machines have the same log";
 
-/// How a read is answered: as shipped, by a leader that holds its lease and a
-/// round of the quorum; by one of both; or by any node that thinks it leads.
-/// `copy_at_once`: another node shows its copy as soon as the leader has
-/// confirmed the read, without waiting until it has applied as much.
+/// How a read is confirmed. The production code (`shipped`) requires both the
+/// leader's lease and a round trip to a quorum. The other modes are faults or
+/// variants: only one of the two, neither (any node that considers itself the
+/// leader answers), or `copy_at_once`: a follower answers from its copy as soon
+/// as the leader has confirmed the read, without waiting until it has applied
+/// the leader's entries.
 enum class read_mode {
   shipped,
   round_only,
@@ -37,34 +40,38 @@
   copy_at_once
 };
 
-/// Sends plans and reads, and reports each property that does not hold.
+/// Submits plans, reads them, and reports violations of the properties.
 class plan_operators {
  public:
   plan_operators(random_source& random, read_mode mode, report violation)
       : random_(random), mode_(mode), violation_(std::move(violation)) {}
 
-  /// Sends one order, or two at once, to machines drawn from `reachable`.
+  /// Sends a read or a plan, or two plans with the same number, to random
+  /// machines of `reachable`.
   void act(const std::vector<control_machine*>& reachable);
-  /// Sends a plan with a number above all others.
+  /// Sends a plan with a higher number than all plans so far.
   void send_newest(control_machine& to);
   void read(control_machine& from);
-  /// `leader` confirms the read, and `at` shows its copy.
+  /// Reads the copy of `at`, confirmed by `leader`.
   void read_copy(control_machine& leader, const control_machine& at);
 
+  /// Checks the log and the plan in force after `by` has applied an entry.
   void observe_applied(const control_machine& by,
                        const consensus::entry& committed);
+  /// Checks that the plan in force on `by` is valid and its number unique.
   void observe_in_force(const control_machine& by);
 
   plan_number acknowledged() const { return acknowledged_; }
   std::size_t acknowledgements() const { return acknowledgements_; }
   std::size_t reads() const { return reads_; }
-  /// The newest number that a confirmed read has shown.
+  /// The highest number that a confirmed read has returned.
   plan_number shown() const { return shown_; }
-  /// Called when a number above all acknowledged ones is acknowledged.
+  /// Called when a plan with a higher number than all before is acknowledged.
   std::function<void()> on_acknowledged;
 
  private:
-  /// A copy that is shown once its machine has applied `index`.
+  /// A read that is answered from the copy of `at` once it has applied `index`;
+  /// it must return `least` or a higher number.
   struct waiting_copy {
     const control_machine* at = nullptr;
     consensus::log_index index = 0;
@@ -76,8 +83,8 @@
   plan_ptr draw_plan();
   void send(control_machine& to, const plan_ptr& plan);
   void answered(const plan_ptr& plan, const change_result& outcome, bool edits);
-  /// The plan's number when the change replaces the plan after all that was
-  /// applied before it; else 0.
+  /// The number of the plan in `asked` if the plan comes into force when it is
+  /// applied next, else 0.
   plan_number number_that_holds(const change& asked) const;
   void show(const control_machine& from, plan_number least);
 
--- a/config/test/route_list-test.cc
+++ b/config/test/route_list-test.cc
@@ -1,3 +1,4 @@
+// Tests the compact encoding of route lists.
 #include "trestlepost/config/route_list.h"
 
 #include <gtest/gtest.h>
--- a/config/test/selector-test.cc
+++ b/config/test/selector-test.cc
@@ -1,3 +1,4 @@
+// Tests parsing and matching of selectors.
 #include "trestlepost/config/selector.h"
 
 #include <gtest/gtest.h>
--- a/config/test/state_machine-test.cc
+++ b/config/test/state_machine-test.cc
@@ -1,3 +1,5 @@
+// Tests the decisions on configuration changes, the audit trail, snapshots and
+// updates of watchers.
 #include "trestlepost/config/state_machine.h"
 
 #include <gtest/gtest.h>
@@ -215,7 +217,7 @@
     if (poll % 2 == 0)
       late.push_back(it.machine.update_since(watcher.revision()));
     if (poll % 5 == 0 && !late.empty()) {
-      // Updates arrive out of order and more than once.
+      // Updates may arrive out of order and more than once.
       const watch_update update = late[poll % late.size()];
       const revision_number before = watcher.revision();
       apply_update(watcher, *watch_update_from(to_json(update)));
--- a/config/test/traffic_plan-test.cc
+++ b/config/test/traffic_plan-test.cc
@@ -1,4 +1,5 @@
-// The traffic plan: what is refused, which number holds, what watchers get.
+// Tests validation of traffic plans, the rule that the highest number is in
+// force, and the plan that watchers receive.
 #include "trestlepost/config/traffic_plan.h"
 
 #include <gtest/gtest.h>
--- a/node/src/audit_search.cc
+++ b/node/src/audit_search.cc
@@ -8,7 +8,7 @@
 namespace trestlepost::node {
 namespace {
 
-// Records that are told when the filter sets no limit.
+// Number of records that are returned if the filter sets no limit.
 constexpr std::size_t default_audit_rows = 50;
 
 }  // namespace
--- a/node/src/audit_search.h
+++ b/node/src/audit_search.h
@@ -1,4 +1,4 @@
-// Searches the audit trail for operators.
+// Searches the audit trail of configuration changes on behalf of operators.
 #pragma once
 
 #include <deque>
@@ -8,8 +8,9 @@
 
 namespace trestlepost::node {
 
-/// The records that match `filter`, the newest first: by operator, by name
-/// and kind of an object that was changed, and by time.
+/// The records that match `filter`, newest first, as {"records": [...]}. The
+/// filter's optional fields are "operator", "name" and "kind" of a changed
+/// object, "since_ms" and "until_ms" (Unix time), and "limit".
 json audit_matching(const std::deque<config::audit_record>& all,
                     const json& filter);
 
--- a/node/src/config_watchers.cc
+++ b/node/src/config_watchers.cc
@@ -12,9 +12,10 @@
 
 using std::chrono::milliseconds;
 
+// A watcher that hasn't polled for this time is removed.
 constexpr milliseconds watcher_lifetime{5000};
-// Three polls of a watcher that is content: one that is silent for longer has
-// stopped, or is cut off.
+// Three poll intervals of an up-to-date watcher. One that hasn't polled for
+// longer has stopped or is partitioned, and confirmations don't wait for it.
 constexpr milliseconds heard_lifetime{1500};
 constexpr char update_method[] = "config.update";
 
@@ -27,7 +28,7 @@
   watcher& it = known->second;
   it.seen_at = now;
   if (poll.missed) it.delivery.missed();
-  // One that was passed on may come after a later one, and name less.
+  // A forwarded poll can arrive after a newer one and report an older revision.
   const bool late = poll.sequence < it.sequence;
   const std::string address = late ? it.ways.address() : poll.address;
   if (address != it.ways.address()) it.delivery.missed();
--- a/node/src/config_watchers.h
+++ b/node/src/config_watchers.h
@@ -1,4 +1,5 @@
-// The nodes that follow the configuration through this node while it leads.
+// Sends configuration changes to the watchers (nodes that poll for them) while
+// this node leads the configuration group.
 #pragma once
 
 #include <chrono>
@@ -16,50 +17,52 @@
 
 namespace trestlepost::node {
 
-/// What a node that polls says of itself.
+/// The fields of a watcher's poll.
 struct watcher_poll {
   std::string name;
   std::string address;
-  /// The control node that passed the poll on, or empty.
+  /// Address of the control node that forwarded the poll; empty if the watcher
+  /// sent it to this node.
   std::string via;
-  /// Rises with each poll, also across restarts.
+  /// Increases with each poll, also across restarts.
   std::uint64_t sequence = 0;
-  config::revision_number held = 0;
-  /// It could not use what it was sent.
+  config::revision_number held = 0;  // that the watcher has
+  /// Whether the watcher could not apply an update that it was sent.
   bool missed = false;
 };
 
-/// Sends each change to each watcher once. What several watchers need is
-/// written and compressed once, which keeps a leader of many watchers from
-/// missing its heartbeats over a large change. A watcher that polls this node
-/// itself is written to directly, though others pass its polls on as well.
+/// Sends each change to each watcher once. An update that several watchers need
+/// is serialized and compressed once, so that a large change doesn't delay the
+/// heartbeats of a leader with many watchers. A watcher that polls this node
+/// directly is sent updates directly, even if other nodes also forward its
+/// polls.
 class config_watchers {
  public:
   config_watchers(node_context& context,
                   const config::config_state_machine& machine)
       : context_(context), machine_(machine) {}
 
-  /// Takes in a poll, and sends what is due.
+  /// Processes a poll and sends the watcher the changes that it lacks.
   void polled(const watcher_poll& poll);
-  /// Sends all watchers what is due after a change.
+  /// Sends the changes that they lack to all watchers. Call it after a change.
   void push();
-  /// The connection to the peer at `address` was lost: what was sent there is
-  /// sent again at once: an acknowledged change does not wait until it is taken
-  /// for lost.
+  /// Handles the loss of the connection to the peer at `address`: immediately
+  /// sends the updates in flight on it again, instead of after a timeout.
   void connection_lost(const std::string& address);
-  /// This node leads in `term`: what was sent in another may not count. A lease
-  /// that lapses for a moment changes nothing.
+  /// Records that this node leads in `term`. In a new term all watchers and
+  /// what they were sent are forgotten; a lease that lapses briefly within a
+  /// term has no effect.
   void lead_in(consensus::term_number term);
 
-  /// The revision that all watchers hold which were heard a moment ago; the
-  /// newest when there is none.
+  /// The lowest revision among the watchers that polled recently; the newest
+  /// revision if there are none.
   config::revision_number held_by_all() const;
-  /// Called when all watchers have a revision: how long that took since it was
-  /// decided here.
+  /// Called when all watchers have a revision, with the time since it was
+  /// decided on this node.
   std::function<void(std::chrono::milliseconds)> on_confirmed =
       [](std::chrono::milliseconds) {};
 
-  /// How often a configuration, or changes of it, was sent.
+  /// Number of messages with changes or a whole configuration that were sent.
   std::uint64_t contents_sent() const { return contents_sent_; }
 
  private:
@@ -72,19 +75,24 @@
 
   void take_newest(watcher& it, const watcher_poll& poll);
   void note_confirmed();
+  /// Sends the watcher the changes that it lacks, over the preferred path, or
+  /// over all paths if they were sent before and count as lost.
   void send_due(watcher& to);
-  /// The same, by all of `ways`.
+  /// Sends the watcher the changes that it lacks, over each of `ways`.
   void send_due_by(watcher& to, const std::vector<watcher_ways::way>& ways);
   void send(const watcher& to, watcher_ways::way by,
             config::revision_number from);
   json make_message(config::revision_number from) const;
+  /// The compressed message with the changes after `from`, from the cache if
+  /// possible.
   const transport::packed_notification& packed(config::revision_number from);
 
   node_context& context_;
   const config::config_state_machine& machine_;
   std::map<std::string, watcher> all_;  // by name
   config::confirmation_tracker confirmations_;
-  /// Messages that lead to `packed_to_`, by the revision that they begin after.
+  /// Messages that update to `packed_to_`, by the revision that they start
+  /// from.
   std::map<config::revision_number, transport::packed_notification> packed_;
   config::revision_number packed_to_ = 0;
   consensus::term_number term_ = 0;
--- a/node/src/group_orders.cc
+++ b/node/src/group_orders.cc
@@ -11,10 +11,11 @@
 
 constexpr char submit_method[] = "config.submit";
 constexpr char read_method[] = "config.read";
-// A plan that some watchers do not confirm is acknowledged after this time.
+// A plan is acknowledged after this time even if some watchers have not
+// confirmed it.
 constexpr milliseconds longest_confirmation{3000};
 
-constexpr char ask_again[] = "send the same again";
+constexpr char ask_again[] = "send the same request again";
 
 }  // namespace
 
--- a/node/src/group_orders.h
+++ b/node/src/group_orders.h
@@ -1,5 +1,5 @@
-// Operators' changes and reads at any control node, whether it leads its group
-// or not.
+// Executes operators' changes and reads on any control node, and forwards them
+// to the leader of the configuration group if another node leads.
 #pragma once
 
 #include <vector>
@@ -12,6 +12,7 @@
 
 class control_service;
 
+/// Submits changes to the configuration group and runs linearizable reads.
 class group_orders {
  public:
   group_orders(node_context& context, control_service& control)
@@ -20,36 +21,38 @@
   void start();
   void tick();
 
-  /// Runs `change` through the log; a node that does not lead asks the leader.
-  /// A plan is answered once the watchers hold it.
+  /// Submits `asked` to the log, through the leader if this node is a follower.
+  /// A traffic plan is answered once all watchers have it, or after a timeout.
   void submit(config::change asked, const answer_function& answer);
-  /// Answers once this node has applied all that was acknowledged before the
-  /// call.
+  /// Answers once this node has applied every change that was acknowledged
+  /// before the call.
   void read_here(const answer_function& answer);
-  /// Answers the reads that this node has applied enough for.
+  /// Answers the pending reads whose log index this node has applied.
   void finish_reads();
-  /// Acknowledges the plans that all watchers hold, or that have waited for as
-  /// long as an acknowledgement may.
+  /// Acknowledges the plans that all watchers have, or whose time limit for the
+  /// confirmation has passed.
   void acknowledge_confirmed();
 
  private:
-  /// A plan that is decided, and not acknowledged yet.
+  /// A plan that has been accepted but not yet acknowledged.
   struct unconfirmed_plan {
     config::revision_number revision = 0;
     monotonic_time decided_at;
     json outcome;
     answer_function answer;
   };
-  /// A read that waits until this node has applied an entry.
+  /// A read that waits until this node has applied the entry at `index`.
   struct waiting_read {
     consensus::log_index index = 0;
     answer_function answer;
   };
 
-  /// Proposes a change on the leader.
+  /// Proposes a change; fails if this node doesn't lead.
   void take(config::change asked, const answer_function& answer);
+  /// Answers at once if the change was rejected, else once it is confirmed.
   void await_confirmation(const json& outcome, const answer_function& answer);
-  /// Confirms a read on the leader.
+  /// On the leader, confirms leadership with a quorum and answers with the
+  /// index that a read has to wait for.
   void confirm(const answer_function& answer);
 
   node_context& context_;
@@ -57,8 +60,8 @@
   peer_calls calls_;
   std::vector<unconfirmed_plan> unconfirmed_;
   std::vector<waiting_read> waiting_reads_;
-  /// The newest revision that a plan led to, and when: a plan that is sent
-  /// again waits no longer than its first copy.
+  /// The newest revision created by a plan, and when it was decided. A resent
+  /// plan shares the time limit of its first submission.
   config::revision_number newest_revision_ = 0;
   monotonic_time newest_decided_at_;
 };
--- a/node/src/order_handler.cc
+++ b/node/src/order_handler.cc
@@ -15,26 +15,27 @@
 using transport::awaitable;
 using transport::http_answer;
 
-// An operator asks another node after a second; an answer that would come
-// later helps nobody.
+// Time limit for an answer. Operators try another node after 1 s, so a later
+// answer is useless.
 constexpr milliseconds answer_timeout{900};
 
-// Between two looks at a lease that has lapsed.
+// Interval between checks of a lapsed lease.
 constexpr milliseconds lease_pause{10};
-// Between two tries of a change or a read.
+// Delay between two attempts at a change or a read.
 constexpr milliseconds retry_pause{50};
 
-// A plan from this size on, one window of a connection, is sent while its read
-// is being confirmed: between regions the confirmation takes as long as half a
-// megabyte does.
+// A plan of at least this size (one connection window) is streamed while its
+// read is being confirmed. Between regions the confirmation takes as long as
+// the transfer of half a megabyte.
 constexpr std::size_t least_streamed = 64UL * 1024;
-// Of a plan that is sent so, as many bytes wait for the confirmation.
+// Number of bytes at the end of a streamed plan that are withheld until the
+// read is confirmed.
 constexpr std::size_t held_back = 64;
 constexpr unsigned streamed_status = 200;
 
-constexpr char ask_again[] = "send the same again";
+constexpr char ask_again[] = "send the same request again";
 
-/// A value that a callback delivers later.
+/// A value that a callback delivers, and a timer to wait for it.
 template <typename T>
 struct delivery {
   explicit delivery(transport::asio::io_context& io) : timer(io) {}
@@ -48,7 +49,7 @@
   }
 };
 
-/// Waits for the value until `deadline`.
+/// Waits for the value, at most until `deadline`.
 template <typename T>
 awaitable<void> wait_for(std::shared_ptr<delivery<T>> pending,
                          monotonic_time deadline) {
@@ -67,16 +68,16 @@
       boost::asio::redirect_error(boost::asio::use_awaitable, ec));
 }
 
-/// Whether what was refused so may be taken a moment later.
+/// Whether a request that failed with `refusal` may succeed shortly after.
 bool is_passing(const error& refusal) {
   return refusal.kind == error_kind::unavailable ||
          refusal.kind == error_kind::not_leader;
 }
 
-/// Whether a change that ended so may be taken a moment later.
+/// Whether a change with this outcome may succeed shortly after.
 bool worth_retrying(const change_outcome& outcome) {
   if (!outcome) return is_passing(outcome.error());
-  // Another plan came before, and this one was made from an older one.
+  // Another plan was committed first, so the edit's base is out of date.
   return outcome->status == config::change_status::conflict;
 }
 
@@ -103,7 +104,8 @@
       std::chrono::duration_cast<milliseconds>(to - from).count());
 }
 
-/// `held`: the plan that an edit is made from, or null.
+/// Encodes an order as a change. `held` is the plan in force, the base of a
+/// plan edit, or null.
 config::change make_change(const operator_order& order,
                            const config::traffic_plan* held,
                            random_source& random) {
@@ -180,8 +182,8 @@
 }
 
 awaitable<void> order_handler::regain_lease(monotonic_time deadline) {
-  // After a long turn, such as the one that read the order, the replies that
-  // renew the lease are still in the sockets.
+  // After a long event loop iteration, such as one that reads a large order,
+  // the replies that renew the lease are still unread in the sockets.
   while (control_->is_leader() && !control_->leads() &&
          context_.clock.now() < deadline) {
     co_await pause(context_.io, lease_pause);
--- a/node/src/order_handler.h
+++ b/node/src/order_handler.h
@@ -1,7 +1,7 @@
-// Operators' orders by the traffic plan's surface: replaces and shows the
-// plan, evacuates availability zones. Every control node takes them, and shows
-// the plan from its own copy: one that does not lead asks the one that does for
-// the decision, or for how far its copy must be.
+// HTTP handler for operators' orders: replaces and returns the traffic plan,
+// and starts and ends evacuations of availability zones. Every control node
+// accepts orders. A follower forwards changes to the leader, and answers reads
+// from its own copy once it has applied the log index that the leader reports.
 #pragma once
 
 #include <memory>
@@ -15,9 +15,10 @@
 
 namespace trestlepost::node {
 
-/// How a change was decided, or why it was not.
+/// The result of a change, or the reason why it was not processed.
 using change_outcome = result<config::change_result>;
 
+/// Executes orders through the configuration group.
 class order_handler final : public transport::http_handler {
  public:
   order_handler(node_context& context, control_service* control,
@@ -28,22 +29,26 @@
       transport::http_exchange& exchange) override;
 
  private:
-  /// The answer to send; nothing when it has been streamed.
+  /// The answer to send; nullopt if it has been streamed.
   transport::awaitable<std::optional<transport::http_answer>> answer(
       transport::http_exchange& exchange, const std::string& body);
-  /// Waits while this node leads but is not sure of it.
+  /// Waits while this node is leader but its lease has lapsed.
   transport::awaitable<void> regain_lease(monotonic_time deadline);
+  /// Proposes a change until it is decided, retrying transient failures.
   transport::awaitable<transport::http_answer> change(
       surface::operator_order order, monotonic_time deadline);
-  /// What became of the order; nothing when that is not known in time.
+  /// Proposes the order once. Returns nullopt if there is no result by
+  /// `deadline`.
   transport::awaitable<std::optional<change_outcome>> propose(
       const surface::operator_order& order, monotonic_time deadline);
-  /// Sends a large plan while the read is being confirmed, and its end once it
-  /// is. Without that the answer stays visibly broken.
+  /// Streams a large plan while the read is being confirmed, and sends the last
+  /// bytes after the confirmation. Without a confirmation the answer is
+  /// aborted, so that the client sees it as incomplete.
   transport::awaitable<void> stream_plan(transport::http_exchange& exchange,
                                          config::plan_ptr plan,
                                          monotonic_time deadline);
-  /// Waits until this node has applied all that was acknowledged.
+  /// Waits until this node has applied all acknowledged changes. Returns
+  /// nullopt if that doesn't happen by `deadline`.
   transport::awaitable<std::optional<result<json>>> confirm(
       monotonic_time deadline);
   transport::awaitable<transport::http_answer> read_plan(
--- a/node/src/settled_revision.h
+++ b/node/src/settled_revision.h
@@ -1,4 +1,5 @@
-// Which revision of the configuration has been in force here for some time.
+// Determines which revision of the configuration has been in force on this node
+// for a minimum time.
 #pragma once
 
 #include <chrono>
@@ -9,16 +10,17 @@
 
 namespace trestlepost::node {
 
+/// Tracks the revisions in force and the newest one that has settled.
 class settled_revision {
  public:
-  /// A revision has settled when it has been in force for `after`.
+  /// A revision settles when it has been in force for `after`.
   explicit settled_revision(std::chrono::milliseconds after) : after_(after) {}
 
-  /// `revision` is in force at `now`.
+  /// Records that `revision` is in force at `now`.
   void note(config::revision_number revision, monotonic_time now);
-  /// The newest one that has settled at `now`; 0: none has.
+  /// The newest revision that has settled at `now`; 0 if there is none.
   config::revision_number at(monotonic_time now);
-  /// The first one that was noted; 0: none was.
+  /// The first recorded revision; 0 if there is none.
   config::revision_number first() const { return first_; }
 
  private:
--- a/node/src/watch_client.cc
+++ b/node/src/watch_client.cc
@@ -9,8 +9,9 @@
 namespace trestlepost::node {
 namespace {
 
+// Maximum number of unanswered polls that are kept; older ones are dropped.
 constexpr std::size_t most_questions = 64;
-// Without an answer for so many polls the leader is asked for anew.
+// Number of unanswered polls after which the leader is looked up again.
 constexpr int polls_without_answer = 3;
 
 }  // namespace
@@ -84,7 +85,7 @@
 void watch_client::handle_update(const json& params) {
   const std::string asker = text_of(params, "for");
   if (!asker.empty() && asker != context_.self.peer_address) {
-    // It asked through this node, as the leader does not hear it.
+    // The node polled through this one because it can't reach the leader.
     context_.links.send(asker, "config.update", params);
     return;
   }
@@ -104,7 +105,7 @@
   const json& update = member_of(params, "update");
   if (update.isObject()) apply(update);
   if (asked == questions_.end()) return;
-  // A follower's answer is not the last one: it has asked the leader.
+  // A follower's answer is not final: it has forwarded the poll to the leader.
   if (!flag_of(params, "confirmed")) return;
   finder_.confirmed(now);
   take_book(update);
@@ -114,7 +115,7 @@
 }
 
 void watch_client::apply(const json& value) {
-  // Read first what tells whether the rest is worth reading.
+  // Check the cheap fields before decoding the whole update.
   const bool newer = number_of(value, "to") > context_.store.revision();
   if (!newer || !config::has_content(value)) return;
   const result<config::watch_update> update = config::watch_update_from(value);
@@ -129,7 +130,8 @@
     return;
   }
   if (!context_.options.data_folder.empty()) {
-    // On disk first: a restart must not lead back.
+    // Saved before it takes effect, so that a restart doesn't return to an
+    // older revision.
     const result<void> saved =
         config::save_copy(context_.options.data_folder, next);
     if (!saved) {
@@ -138,7 +140,8 @@
     }
   }
   context_.store = std::move(next);
-  // Tells the leader, which waits for it before it acknowledges a plan.
+  // Reports the revision to the leader, which waits for it before it
+  // acknowledges a plan.
   next_poll_ = context_.clock.now();
   log_event(log_level::info, "configuration-in-force",
             {{"revision", std::to_string(context_.store.revision())}});
--- a/node/src/watch_client.h
+++ b/node/src/watch_client.h
@@ -1,5 +1,6 @@
-// Follows the configuration: polls the leader, takes pushed changes, keeps a
-// copy on disk, and tells the node state when the leader confirms.
+// Keeps this node's copy of the configuration current: polls the leader,
+// applies pushed changes, saves a copy on disk, and confirms the copy in the
+// node state when the leader reports that it is current.
 #pragma once
 
 #include <deque>
@@ -14,7 +15,8 @@
 
 namespace trestlepost::node {
 
-/// Keeps this node's copy of the configuration current.
+/// The watcher side of the configuration protocol; config_watchers is the
+/// leader's side.
 class watch_client {
  public:
   watch_client(node_context& context,
@@ -23,15 +25,16 @@
   void start();
   void tick();
 
-  /// The node that leads the configuration group, as far as is known.
+  /// Name of the last known leader of the configuration group; may be empty.
   std::string leader() { return finder_.leader(context_.clock.now()); }
   const std::map<std::string, config::ledger_founding>& ledgers() const {
     return ledgers_;
   }
-  /// Called after the configuration changed.
+  /// Called after a new revision is in force on this node.
   std::function<void()> on_changed;
 
  private:
+  /// A poll that has not been answered yet.
   struct question {
     std::uint64_t token = 0;
     monotonic_time asked_at;
@@ -39,13 +42,15 @@
 
   poll_situation situation() const;
   void poll(const std::string& address);
-  /// Who asks: its heartbeat when it has news for control nodes, else a sign
-  /// of life.
+  /// Adds this node's identity to a poll: the full heartbeat if the receiver
+  /// doesn't have this node's current state, else only the fields that show
+  /// that the node is alive.
   void introduce(json& params, const std::string& address);
   void handle_update(const json& params);
   void apply(const json& update);
-  /// What was sent could not be used: the next poll says so, at once.
+  /// Polls at once and reports that an update could not be applied.
   void ask_again(const error& cause);
+  /// Takes the node addresses and ledger groups from a confirmed update.
   void take_book(const json& update);
 
   node_context& context_;
@@ -55,10 +60,10 @@
   std::deque<question> questions_;
   std::uint64_t next_token_ = 1;
   std::uint64_t book_version_ = 0;
-  /// What this node was sent left a gap or could not be read.
+  /// Whether an update since the last poll skipped revisions or was unreadable.
   bool missed_ = false;
   monotonic_time next_poll_;
-  /// What the node at this address was told of this one.
+  /// The receiver of the last poll, and this node's state in it.
   std::string introduced_to_;
   std::string introduced_state_;
 };
--- a/node/src/watcher_ways.cc
+++ b/node/src/watcher_ways.cc
@@ -7,11 +7,12 @@
 
 using std::chrono::milliseconds;
 
-// A watcher that has not polled this node itself for so long is taken to be cut
-// off from it: two polls of a node that is content.
+// A watcher without a direct poll for this time counts as unreachable from this
+// node. Two poll intervals of an up-to-date node.
 constexpr milliseconds direct_patience{1000};
-// Its first poll may come sooner by way of a nearer node than directly: two
-// polls of a node that has just started.
+// Time to wait for a direct poll of a new watcher, whose first poll can arrive
+// sooner through a nearer node. Two poll intervals of a node that has just
+// started.
 constexpr milliseconds first_patience{300};
 
 }  // namespace
@@ -41,9 +42,9 @@
 
 std::vector<watcher_ways::way> watcher_ways::all(monotonic_time now) const {
   if (is_direct(now) || via_.empty()) return {way::direct};
-  // It has not been heard for a while, which need not mean a cut: its own
-  // connections may have fallen silent, or those of the node in between. With
-  // one way alone a gateway got a change 2.2 s after all others.
+  // Missing direct polls don't prove a partition: connections of the watcher or
+  // of the relaying node may have stalled. Over a single path a gateway
+  // received a change 2.2 s later than all others.
   return {way::direct, way::passed_on};
 }
 
--- a/node/src/watcher_ways.h
+++ b/node/src/watcher_ways.h
@@ -1,5 +1,5 @@
-// The ways by which a node that watches the configuration is reached: directly,
-// or through a control node that passes its polls on.
+// Chooses the network path to a watcher of the configuration: direct, or
+// relayed by a control node that forwards its polls.
 #pragma once
 
 #include <optional>
@@ -10,28 +10,31 @@
 
 namespace trestlepost::node {
 
-/// Learns from the polls of one watcher which way it is reached. The decisions
-/// only; config_watchers sends.
+/// Determines from the polls of one watcher over which paths it can be reached.
+/// Makes decisions only; config_watchers sends the messages.
 class watcher_ways {
  public:
-  /// Where a message is written to, and how it reaches the watcher from there.
+  /// Whether a message is sent to the watcher itself or to the node that relays
+  /// it.
   enum class way { direct, passed_on };
 
   explicit watcher_ways(monotonic_time now) : first_at_(now) {}
 
-  /// A poll came; `via` names the address of the node that passed it on, or
-  /// is empty.
+  /// Records a poll of the watcher at `address`. `via` is the address of the
+  /// node that forwarded it, or empty for a direct poll.
   void polled(const std::string& address, const std::string& via,
               monotonic_time now);
 
-  /// Whether it is known yet which way the watcher is reached.
+  /// Whether a path has been determined yet.
   bool known(monotonic_time now) const;
-  /// The way to send by.
+  /// The preferred path.
   way best(monotonic_time now) const;
-  /// All ways that may reach it: for what was lost on the best one.
+  /// All paths that may reach the watcher, for messages that were lost on the
+  /// preferred one.
   std::vector<way> all(monotonic_time now) const;
-  /// The connection to the peer at `lost` was lost: the ways by which to send
-  /// again what may have been lost with it, or none.
+  /// The paths over which to send again what may have been lost with the
+  /// connection to the peer at `lost`; empty if it wasn't used for this
+  /// watcher.
   std::vector<way> after_loss(const std::string& lost,
                               monotonic_time now) const;
 
@@ -44,7 +47,7 @@
   std::string address_;
   std::string via_;
   monotonic_time first_at_;
-  /// When it polled this node itself last.
+  /// Time of the last direct poll.
   std::optional<monotonic_time> direct_at_;
 };
 
--- a/node/test/settled_revision-test.cc
+++ b/node/test/settled_revision-test.cc
@@ -1,3 +1,4 @@
+// Tests when a revision counts as settled.
 #include "settled_revision.h"
 
 #include <gtest/gtest.h>
--- a/node/test/watcher_ways-test.cc
+++ b/node/test/watcher_ways-test.cc
@@ -1,14 +1,12 @@
-// Which way a watcher of the configuration is written to.
+// Tests which path to a watcher of the configuration is used.
 //
-// Seen: two gateways took a change 5.1 s after it was acknowledged, 2.2 s
-// after all others, when all open connections had fallen silent at once.
-// How it came about: the first copy is lost with its connection. By the time
-// that is noticed the watcher has not been heard directly for a second, so the
-// next copy goes through another node, over a link that is silent too, and
-// counts as under way for four seconds.
-// Cause: after a loss the other way was taken for good, though a connection
-// that was opened anew is the one that is known to work. Proof: logs of the
-// leader and of both gateways.
+// Guards against a change that reaches a watcher seconds late (5.1 s after its
+// acknowledgement, 2.2 s after all other watchers) when all open connections
+// stall at once: the first copy is lost with its connection; when the loss is
+// detected, the last direct poll is over 1 s old, so the next copy was sent
+// only through a relaying node, over a stalled connection too, and counted as
+// in flight for 4 s. The reopened direct connection would have worked, so after
+// a loss all paths have to be used.
 #include "watcher_ways.h"
 
 #include <gtest/gtest.h>
@@ -45,7 +43,7 @@
   watcher_ways it(at(0));
   it.polled("w", "", at(0));
   it.polled("w", "relay", at(1500));
-  // Noticed two seconds after the last direct poll.
+  // The loss is detected 2 s after the last direct poll.
   EXPECT_EQ(it.after_loss("w", at(2000)), (ways{way::direct, way::passed_on}));
   EXPECT_EQ(it.after_loss("relay", at(2000)),
             (ways{way::direct, way::passed_on}));
