--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -13,18 +13,19 @@
 
 using std::chrono::milliseconds;
 
-// Watchers that lost their leader ask the next one within this time.
+// Watchers that lost their leader poll the new one within this time.
 constexpr milliseconds acquaintance_time{1000};
 constexpr milliseconds join_interval{400};
-// After a failed write the log is read again from the disk this often, until
-// the disk takes writes again.
+// Delay between attempts to restart the replica from disk after a failed
+// write.
 constexpr milliseconds restart_interval{500};
-// A change whose outcome did not come for so long is not waited for.
+// A proposed change without an outcome after this time is no longer tracked.
 constexpr milliseconds waiting_lifetime{30'000};
 constexpr milliseconds founding_timeout{5000};
-// As long as an election takes, with some to spare.
+// Longer than an election takes.
 constexpr milliseconds kept_poll_lifetime{2000};
-// A new leader waits for so many election timeouts until it knows the nodes.
+// In election timeouts: a new leader founds ledgers only after this delay, when
+// it has received the polls of all nodes.
 constexpr int ledger_founding_delay = 4;
 
 consensus::group_options make_group_options(const settings& options) {
@@ -74,7 +75,7 @@
   next_restart_ = now + restart_interval;
   const result<void> done = host_->restart(now, open_storage());
   if (done) {
-    log_event(log_level::info, "storage-regained");
+    log_event(log_level::info, "storage-restored");
   } else {
     log_event(log_level::error, "storage-still-failing",
               {{"detail", done.error().message}});
@@ -102,8 +103,8 @@
 bool control_service::may_acknowledge() const {
   if (!leads()) return false;
   if (machine_.store().plan()) return true;
-  // Before the first plan: grow first, so that what is acknowledged outlives
-  // the losses that must be borne.
+  // Before the first plan the group may still be growing. It must have enough
+  // voters before an acknowledged change can survive the tolerated losses.
   return growth_.has_grown(
       *host_, context_.clock.now(),
       consensus::voters_to_bear(context_.options.tolerated_losses));
@@ -232,11 +233,13 @@
   answer["leader"] = leader_node();
   answer["leader_address"] = leader_address();
   if (leads() && asker.empty()) {
-    // It must tell who it is before the book can be made for it.
+    // The sender's region is needed to select directory entries, so it must
+    // send its full heartbeat first.
     answer["stranger"] = true;
   } else if (leads()) {
     watchers_.lead_in(host_->core().term());
-    // First the content, so that it is in force when the answer arrives.
+    // Send the configuration first, so that it is in force when the answer
+    // arrives.
     const json& sign = alive.isObject() ? alive : beat;
     watchers_.polled({asker, address, via, number_of(sign, "sequence"),
                       number_of(params, "revision"),
@@ -246,8 +249,9 @@
     answer["update"] =
         make_news(number_of(params, "book_version"), book_.find(asker)->region);
   }
-  // Without a leader nothing is told: what this node holds may have been
-  // replaced, and a gateway that serves by it may serve outside homes.
+  // A node that does not lead sends no configuration: its copy may be
+  // outdated, and a gateway using it could run requests outside their home
+  // regions.
   if (!leads()) {
     pass_poll_on(params);
     if (via.empty()) keep_poll(address, params);
@@ -285,7 +289,8 @@
 }
 
 void control_service::on_decided(const config::audit_record& record) {
-  // Replicas decide the same, and decide again what they replay.
+  // Every replica applies every change, and again when it replays its log;
+  // only the leader logs it at info level.
   log_event(leads() ? log_level::info : log_level::debug, "change-decided",
             {{"change_id", record.change_id},
              {"operator", record.operator_name},
@@ -330,7 +335,7 @@
 bool control_service::is_confirmed(config::revision_number revision) const {
   const std::optional<monotonic_time> since = growth_.leading_since();
   const monotonic_time now = context_.clock.now();
-  // The watchers have to find a new leader first.
+  // A new leader does not know all watchers until they have polled it.
   const bool known = since && *since + acquaintance_time <= now;
   return known && watchers_.held_by_all() >= revision;
 }
@@ -358,7 +363,8 @@
 void control_service::found(answer_function answer) {
   const std::vector<control_node>& all = context_.options.control_nodes;
   if (all.empty()) {
-    answer(fail(error_kind::conflict, "this deployment founds by its seeds",
+    answer(fail(error_kind::conflict,
+                "this deployment founds its group from the seeds",
                 "set found_at_first_start and start all control nodes"));
     return;
   }
@@ -374,7 +380,8 @@
     return;
   }
   if (founding_) {
-    answer(fail(error_kind::in_progress, "a founding is under way",
+    answer(fail(error_kind::in_progress,
+                "the configuration group is being founded",
                 "wait for it to end"));
     return;
   }
@@ -505,7 +512,7 @@
   if (holds && lease_lapsed_at_ != monotonic_time()) {
     const milliseconds without =
         std::chrono::duration_cast<milliseconds>(now - lease_lapsed_at_);
-    log_event(log_level::info, "lease-regained",
+    log_event(log_level::info, "lease-renewed",
               {{"term", term}, {"ms", std::to_string(without.count())}});
   } else if (!holds) {
     log_event(log_level::warn, "lease-lapsed", {{"term", term}});
--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -1,5 +1,5 @@
-// The configuration group on a control node: takes changes, answers watchers,
-// founds the group and the ledgers.
+// The configuration group on a control node: accepts changes, answers polls
+// from watchers, and founds the configuration group and the ledgers.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,8 @@
 
 namespace trestlepost::node {
 
-/// This node's replica of the group, and what the leader does beside it.
+/// Owns this node's replica of the configuration group and the work that the
+/// leader does beyond replication.
 class control_service final : public consensus::message_sink {
  public:
   explicit control_service(node_context& context)
@@ -34,48 +35,53 @@
   result<void> start();
   void tick();
 
-  /// Runs `change` through the log; answers once it is decided.
+  /// Proposes a change to the log; answers once its outcome is decided.
   void propose(config::change asked, const answer_function& answer);
-  /// Founds the group, once.
+  /// Founds the configuration group. Fails when one exists already.
   void found(answer_function answer);
-  /// Goes on from this node's disk alone after the majority was lost.
+  /// Forms a new group of this node alone, from the data on its disk. Only for
+  /// use after the majority was lost for good.
   result<json> recover();
-  /// The audit trail, as far as this node has applied it, after a read that
-  /// the majority confirms.
+  /// Answers with the matching entries of the audit trail, after a majority
+  /// has confirmed that this node still leads.
   void read_audit(const json& filter, const answer_function& answer);
 
   void send(const consensus::message& out) override;
 
   const consensus::group_host& host() const { return *host_; }
   const config::config_state_machine& machine() const { return machine_; }
+  /// Whether this node leads and holds the leader's lease.
   bool leads() const;
-  /// The group's leader as far as this node knows, perhaps without a lease.
+  /// Whether this node takes itself for the leader; it need not hold the
+  /// lease.
   bool is_leader() const { return host_->core().is_leader(); }
-  /// Whether changes may be acknowledged: enough control nodes vote to bear
-  /// the losses that the settings name.
+  /// Whether changes may be acknowledged: there are enough voters to survive
+  /// the loss of `tolerated_losses` control nodes.
   bool may_acknowledge() const;
-  /// Runs `ready` once a read here is sure to see all that was acknowledged;
-  /// an error when this node does not lead.
+  /// Calls `ready` once a read on this node sees every acknowledged change.
+  /// Fails when this node does not lead.
   result<void> confirm_read(std::function<void()> ready);
+  /// The name of the last known leader, or empty.
   std::string leader_node() const;
-  /// Where the leader receives, or empty.
+  /// The leader's peer address, or empty.
   std::string leader_address() const;
-  /// Whether another node leads, as far as this one knows.
+  /// Whether the last known leader is another node.
   bool hears_leader() const;
-  /// Whether this node leads, or hears the one that does.
+  /// Whether any leader is known, this node included.
   bool knows_leader() const { return is_leader() || hears_leader(); }
-  /// Whether all watchers that are heard hold the revision, as far as this
-  /// leader can know.
+  /// Whether all reachable watchers have applied the revision. False while a
+  /// new leader may not know all watchers yet.
   bool is_confirmed(config::revision_number revision) const;
-  /// Operators' changes and reads, at any control node.
+  /// Operators' changes and reads, which any control node accepts.
   group_orders& orders() { return orders_; }
-  /// How often this node sent a configuration, or changes of it, to a watcher.
+  /// The number of full or incremental configurations sent to watchers.
   std::uint64_t contents_sent() const { return watchers_.contents_sent(); }
-  /// Called when all watchers have a revision: the time since its decision.
+  /// `action` is called when all watchers have applied a revision, with the
+  /// time since the revision was decided.
   void set_on_confirmed(std::function<void(std::chrono::milliseconds)> action) {
     watchers_.on_confirmed = std::move(action);
   }
-  /// The connection to the peer at `address` was lost.
+  /// Handles the loss of the connection to the peer at `address`.
   void connection_lost(const std::string& address) {
     if (leads()) watchers_.connection_lost(address);
   }
@@ -96,33 +102,36 @@
   };
 
   void register_peer_methods();
-  /// To the leader, for an asker that may be cut off from it; the answer comes
-  /// back the same way.
+  /// Forwards a poll to the leader for a node that may not be able to reach
+  /// it. The answer returns through this node.
   void pass_poll_on(const json& params);
   void handle_poll(const json& params);
-  /// Keeps a poll that comes while no leader is known: this node may be the
-  /// next one.
+  /// Saves a poll received while this node does not lead, in case it is
+  /// elected soon.
   void keep_poll(const std::string& address, const json& params);
-  /// Answers the polls that came before this node led: a gateway that has
-  /// started serves nobody until then.
+  /// Answers the polls saved before this node was elected. A gateway that has
+  /// just started serves no requests until a leader has answered it.
   void answer_kept_polls();
-  /// Takes in who polls; its name, or empty when the leader must be told.
+  /// Records the sender of a poll and returns its name. Returns an empty name
+  /// when the sender is not in the directory and must send its full heartbeat.
   std::string meet_asker(const json& params);
   void handle_probe(const json& params);
   void handle_probe_answer(const json& params);
-  /// What the leader tells an asker beside the configuration: the revision,
-  /// nodes and ledgers.
+  /// The part of an answer to a poll that only the leader sends: the
+  /// revision, new or changed nodes, and the ledgers.
   json make_news(std::uint64_t book_version, const std::string& region) const;
   void on_decided(const config::audit_record& record);
   void finish_founding_if_ready();
-  /// A ledger for `region`; without members when too few nodes live there.
+  /// The founding of a ledger in `region`; without members when the region
+  /// has too few live nodes.
   config::ledger_founding new_ledger(const std::string& region) const;
   void found_ledgers();
   void ask_to_join();
   void found_from_seeds();
   std::unique_ptr<consensus::storage> open_storage() const;
   void restart_after_failure();
-  /// Logs when this leader loses its lease without being replaced.
+  /// Logs when this leader's lease lapses while no other node is elected, and
+  /// when it is renewed.
   void note_lease();
   void handle_join(const json& params);
   std::string address_of(const std::string& node) const;
@@ -139,7 +148,7 @@
   group_orders orders_{context_, *this};
   node_book book_;
   std::map<std::string, waiting_change> waiting_;
-  std::map<std::string, kept_poll> kept_polls_;  // the last, by address
+  std::map<std::string, kept_poll> kept_polls_;  // the latest, by address
   std::optional<founding> founding_;
   monotonic_time next_join_;
   monotonic_time next_restart_;
--- a/node/src/crash_judge.cc
+++ b/node/src/crash_judge.cc
@@ -9,7 +9,8 @@
 
 using std::chrono::milliseconds;
 
-// A proposal that is not in force after so long was lost with its leader.
+// A proposal not in force after this time is sent again: it may have been lost
+// with its leader.
 constexpr milliseconds proposal_interval{2000};
 constexpr std::size_t most_condemned = 1000;
 constexpr char operator_name[] = "trestlepost";
@@ -70,12 +71,12 @@
   const monotonic_time now = context_.clock.now();
   for (routing::crash_verdict& it : blame_.take_verdicts(now)) {
     if (store_.held_requests().contains(it.fingerprint)) continue;
-    log_event(log_level::warn, "request-condemned",
+    log_event(log_level::warn, "request-hold-proposed",
               {{"fingerprint", it.fingerprint},
                {"service", it.service},
                {"evidence", evidence_of(it)}});
     if (condemned_.size() >= most_condemned) {
-      log_event(log_level::warn, "condemned-requests-forgotten",
+      log_event(log_level::warn, "proposed-holds-dropped",
                 {{"requests", std::to_string(condemned_.size())}});
       condemned_.clear();
     }
@@ -106,7 +107,8 @@
   const std::vector<std::string> condemned = judge();
   if (!leads) return;
   tell_gateways("crash.suspects", suspects);
-  // At once: the log takes round trips, in which more endpoints would crash.
+  // Sent without waiting for the log, which takes several round trips: more
+  // endpoints could crash until then.
   tell_gateways("crash.condemned", condemned);
   propose_holds();
 }
--- a/node/src/crash_judge.h
+++ b/node/src/crash_judge.h
@@ -1,5 +1,6 @@
-// What a control node concludes from the crashes that gateways report: the
-// leader has the requests that crash endpoints held back by the configuration.
+// Counts the endpoint crashes that gateways report, by request. The leader
+// proposes to hold the requests that crash endpoints; holds are part of the
+// configuration.
 #pragma once
 
 #include <functional>
@@ -14,10 +15,11 @@
 
 namespace trestlepost::node {
 
-/// Every control node hears all reports and judges; the one that leads acts.
-/// A hold stands in the log: it outlives restarts of all nodes, and reaches
-/// each gateway the way every change does. One that has started, or was cut
-/// off, serves no request before it has the newest revision.
+/// Every control node evaluates all reports, but only the leader notifies
+/// gateways and proposes holds. A hold is a change in the replicated log: it
+/// survives the restart of all nodes and reaches each gateway like any other
+/// change. A gateway that has started or was disconnected serves no request
+/// before it has the latest revision.
 class crash_judge {
  public:
   using propose_function = std::function<void(config::change)>;
@@ -27,7 +29,7 @@
       : context_(context), store_(store), propose_(std::move(propose)) {}
 
   void handle_report(const json& params);
-  /// `leads`: this node leads the configuration group.
+  /// `leads`: whether this node leads the configuration group.
   void tick(bool leads);
 
  private:
@@ -36,11 +38,12 @@
     monotonic_time next_proposal{};
   };
 
+  /// Drops proposals that are in force, and the crashes of released requests.
   void note_released();
-  /// Sends the notification `method` to all gateways that are heard.
+  /// Sends the notification `method` to all reachable gateways.
   void tell_gateways(const std::string& method,
                      const std::vector<std::string>& fingerprints);
-  /// Requests that are condemned now.
+  /// Evaluates the reports; returns the requests newly proposed to be held.
   std::vector<std::string> judge();
   void propose_holds();
 
@@ -48,7 +51,7 @@
   const config::object_store& store_;
   propose_function propose_;
   routing::crash_blame blame_;
-  /// Not held yet, as far as this node knows.
+  /// By fingerprint; not in force yet on this node.
   std::map<std::string, condemned> condemned_;
   config::hold_tracker holds_;
 };
--- a/node/src/crash_reporter.cc
+++ b/node/src/crash_reporter.cc
@@ -5,7 +5,7 @@
 
 using std::chrono::milliseconds;
 
-// Reports are sent again after this long, then after twice that, and so on.
+// Delay before a report is first sent again; it doubles with each resend.
 constexpr milliseconds first_pause{1000};
 constexpr milliseconds longest_pause{16'000};
 constexpr std::size_t most_kept = 2000;
@@ -33,7 +33,7 @@
   json reports(Json::arrayValue);
   for (kept_report& it : kept_) {
     if (now < it.next_send) continue;
-    // Nodes have no clock in common.
+    // Sent as an age because the nodes' clocks differ.
     const milliseconds age =
         std::chrono::duration_cast<milliseconds>(now - it.what.at);
     json one;
--- a/node/src/crash_reporter.h
+++ b/node/src/crash_reporter.h
@@ -1,5 +1,5 @@
-// Tells the control nodes which requests ran at endpoints that crashed, and
-// which of them have ended well since.
+// Reports to the control nodes which requests ran on endpoints that crashed,
+// and which of these requests have completed successfully since.
 #pragma once
 
 #include <deque>
@@ -10,9 +10,9 @@
 
 namespace trestlepost::node {
 
-/// Each report goes to all control nodes, so that the next leader knows what
-/// the last one did, and is sent again a few times: messages may be lost, and
-/// control nodes that start anew have forgotten.
+/// Sends each report to all control nodes, so that a new leader has the same
+/// reports as the last one, and repeats it a few times: messages may be lost,
+/// and control nodes lose the reports when they restart.
 class crash_reporter {
  public:
   explicit crash_reporter(node_context& context) : context_(context) {}
@@ -22,7 +22,7 @@
   void tick();
 
  private:
-  /// A crash, or a good end where `endpoint` is empty.
+  /// A crash, or a successful completion when `endpoint` is empty.
   struct kept_report {
     routing::crash_report what;
     monotonic_time next_send{};
--- a/node/src/digest_service.cc
+++ b/node/src/digest_service.cc
@@ -12,18 +12,22 @@
 using membership::node_record;
 using std::chrono::milliseconds;
 
-// A relay that leaves so many heartbeats unanswered is passed over.
+// In heartbeat intervals: a relay that has not answered for this long is
+// skipped.
 constexpr int unanswered_beats = 4;
-// A node that was not heard for so many intervals is named with its age.
-// The second relay, a gateway as a rule, gets one heartbeat in so many: hearing
-// and answering all nodes of a large region took most of a small VM's
-// processor. Three fit into the time after which a silent node is suspected.
+// The second relay, usually a gateway, gets one heartbeat in this many:
+// receiving and answering every heartbeat of a large region took most of a
+// small VM's CPU. Three intervals are within the time after which a silent node
+// is suspected.
 constexpr std::uint64_t beats_to_second = 3;
+// In heartbeat intervals: digests include the age of a node's last heartbeat
+// once it is older than this.
 constexpr int late_beats = 3;
-// The loads of other regions come each 300 ms; every second digest has them.
+// Service loads of other regions go into every second digest; they arrive only
+// every 300 ms.
 constexpr std::uint64_t rounds_per_services = 2;
-// Other regions are told all nodes of this one so many times after a change,
-// and again after this time: nobody there asks for what was lost.
+// Other regions cannot request lost digests. They get this many full digests
+// after each change, and another one at this interval.
 constexpr int whole_after_change = 3;
 constexpr milliseconds whole_interval{3000};
 
@@ -208,7 +212,7 @@
     }
     return;
   }
-  // Those who ask get it with the next digest.
+  // Nodes that request digests get it with their next one.
   if (!askers_.empty()) return;
   for (const std::string& it : relays()) {
     context_.links.send(mates.at(it), method, onward);
--- a/node/src/digest_service.h
+++ b/node/src/digest_service.h
@@ -1,6 +1,7 @@
-// Heartbeats to the region's relays and their digests back, in regions that
-// are too large for heartbeats from each to each; and digests between regions.
-// Whoever is asked answers: nodes need not agree on which ones are relays.
+// Heartbeats to the region's relays and the digests that relays send back, for
+// regions too large for heartbeats between all nodes; and digests between
+// regions. Any node answers a digest request, so nodes need not agree on which
+// ones are relays.
 #pragma once
 
 #include <chrono>
@@ -17,7 +18,7 @@
 
 namespace trestlepost::node {
 
-/// Sends and takes digests; on a relay it also makes them.
+/// Requests and receives digests; on a relay it also produces them.
 class digest_service {
  public:
   explicit digest_service(node_context& context);
@@ -25,21 +26,23 @@
   void start();
   /// The time between two heartbeats of this node.
   std::chrono::milliseconds interval() const;
-  /// Sends a heartbeat to the relays, with what this node has of their
-  /// digests.
+  /// Sends a heartbeat to the relays, with the version of the last digest
+  /// received from each.
   void send_to_relays(const json& heartbeat);
-  /// Takes note of what the sender of a heartbeat asks for.
+  /// Records the digest request in a heartbeat, if it has one.
   void note_ask(const json& heartbeat, const membership::node_info& sender);
-  /// Tells all who asked not long ago.
+  /// Sends a digest to each node with an unanswered recent request.
   void answer_asks();
-  /// This region to the nodes at these addresses, one in each other region.
+  /// Sends a digest of this region to the nodes at `addresses`, one in each
+  /// other region.
   void send_to_regions(const std::vector<std::string>& addresses);
-  /// News of another region, to those of this one that digests don't reach.
+  /// Forwards data about another region to the nodes of this region that would
+  /// not get it in a digest.
   void pass_on(const char* method, const json& params);
 
-  /// What the other gateways of the region have under way.
+  /// The requests in flight from the region's other gateways.
   membership::endpoint_sums others() const;
-  /// Called after a digest brought sums.
+  /// Called after a digest with new data was received.
   std::function<void()> on_sums;
 
  private:
@@ -47,9 +50,9 @@
     std::string address;
     membership::digest_ask has;
     monotonic_time asked_at;
-    bool waiting = false;  // for an answer
+    bool waiting = false;  // request not answered yet
   };
-  /// Parts of a digest that are the same for all who ask.
+  /// The content that is the same in the digests to all requesters.
   struct shared_news {
     membership::endpoint_sums sums;
     std::map<std::string, membership::service_loads> services;
@@ -57,9 +60,9 @@
   };
 
   void handle_digest(const json& params);
-  /// False when the digest brought no news.
+  /// Applies a digest; false when it had nothing new.
   bool take(const json& params);
-  /// The nodes of the region that heartbeats go to.
+  /// The names of the relays that this node sends its heartbeats to.
   std::vector<std::string> relays() const;
   shared_news gather() const;
   void update_writer();
@@ -71,11 +74,11 @@
   membership::digest_reader reader_;
   membership::relay_choice choice_;
   std::map<std::string, asker> askers_;  // by name
-  std::uint64_t round_ = 0;              // of digests to those who asked
-  std::uint64_t beats_ = 0;              // sent to relays
-  /// The version of this region that the others were told last.
+  std::uint64_t round_ = 0;              // of digests to requesters
+  std::uint64_t beats_ = 0;              // number of heartbeats sent to relays
+  /// The version of this region's data last sent to other regions.
   std::uint64_t told_version_ = 0;
-  int whole_left_ = 0;  // digests to other regions that name all nodes
+  int whole_left_ = 0;  // full digests still due to other regions
   monotonic_time next_whole_;
 };
 
--- a/node/src/entry_handlers.cc
+++ b/node/src/entry_handlers.cc
@@ -15,7 +15,7 @@
   return surface.refuse({error_kind::not_found, "there is no such call", ""});
 }
 
-/// The regions all of whose availability zones are evacuated.
+/// The regions whose availability zones are all evacuated.
 std::set<std::string> closed_regions(const node_context& context) {
   std::set<std::string> out;
   std::set<std::string> open;
@@ -27,7 +27,7 @@
   return out;
 }
 
-/// Where requests for `host` may run.
+/// The regions in which requests for `host` may run.
 membership::host_regions regions_of(const node_context& context,
                                     const std::string& host) {
   membership::host_regions out;
@@ -48,7 +48,8 @@
   return out;
 }
 
-/// A lost heartbeat or two must not empty a region.
+/// In heartbeat intervals. The loss of one or two heartbeats must not remove
+/// the entries of a region from the directory.
 constexpr int beats_until_silent = 4;
 
 }  // namespace
--- a/node/src/entry_handlers.h
+++ b/node/src/entry_handlers.h
@@ -1,4 +1,5 @@
-// The entry directory and the readiness check, by the surface's forms.
+// HTTP handlers for the entry directory and the readiness check, in the formats
+// of the surface.
 #pragma once
 
 #include "node_context.h"
@@ -7,7 +8,7 @@
 
 namespace trestlepost::node {
 
-/// Tells callers which entries of their region to use.
+/// Returns to callers the gateways that they should send requests to.
 class directory_handler final : public transport::http_handler {
  public:
   directory_handler(node_context& context,
@@ -22,7 +23,7 @@
   const surface::entry_surface* surface_;
 };
 
-/// Tells the deployment whether this node takes requests.
+/// Reports to the platform whether this node accepts requests.
 class readiness_handler final : public transport::http_handler {
  public:
   readiness_handler(node_context& context,
--- a/node/src/group_upkeep.cc
+++ b/node/src/group_upkeep.cc
@@ -8,8 +8,8 @@
 namespace trestlepost::node {
 namespace {
 
-// How often the connections to the group's members are looked over. The first
-// time is at the start: the first election would otherwise wait for them.
+// How often missing connections to members are opened. The first time is at
+// startup, since the first election would otherwise wait for connections.
 constexpr std::chrono::milliseconds keep_interval{1000};
 
 }  // namespace
--- a/node/src/group_upkeep.h
+++ b/node/src/group_upkeep.h
@@ -1,5 +1,5 @@
-// What a control node does beside its replica of the configuration group: it
-// stays connected to the members, and logs whom it takes for the leader.
+// Keeps a control node connected to the members of the configuration group and
+// logs changes of the group's leader.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 class group_upkeep {
  public:
-  /// `address_of` tells a node's address for peers, or an empty one.
+  /// `address_of` returns a node's peer address, or an empty string.
   group_upkeep(node_context& context,
                std::function<std::string(const std::string&)> address_of)
       : context_(context), address_of_(std::move(address_of)) {}
@@ -20,9 +20,10 @@
   void tick(const consensus::replica& core);
 
  private:
-  /// Elections and changes must not wait for connections.
+  /// Keeps connections open so that elections and changes need not wait for
+  /// them.
   void keep_members_connected(const consensus::replica& core);
-  /// Logs the leader when it changes; empty when there is none.
+  /// Logs a change of leader; the name is empty when there is none.
   void note_leader(const consensus::replica& core);
 
   node_context& context_;
--- a/node/src/heartbeat_service.cc
+++ b/node/src/heartbeat_service.cc
@@ -14,7 +14,7 @@
 
 constexpr milliseconds summary_interval{300};
 constexpr milliseconds ping_interval{1000};
-// Weight of one observation in the round trip to a region.
+// Weight of a new sample in the moving average of a region's round trip.
 constexpr double newest_weight = 0.3;
 
 }  // namespace
@@ -60,7 +60,8 @@
 }
 
 void heartbeat_service::heard_region() {
-  // A relay of a large region hears too many to add them up each time.
+  // In a large region a relay receives too many heartbeats to sum them up on
+  // each one; tick() does it.
   unshared_ = true;
   if (!sends_by_relays(context_)) share_in_flight();
 }
@@ -110,7 +111,7 @@
     return;
   }
   std::set<std::string> addresses;
-  // Seeds that stand for control nodes are in other regions as well.
+  // Control nodes may be in other regions, so seeds are addressed too.
   if (!context_.options.control_nodes.empty()) {
     addresses.insert(context_.options.seeds.begin(),
                      context_.options.seeds.end());
@@ -126,7 +127,7 @@
 
 void heartbeat_service::send_summaries() {
   const monotonic_time now = context_.clock.now();
-  // Each relay of this region has one of each other region to tell.
+  // Each relay of this region sends to one relay of each other region.
   std::optional<std::size_t> place;
   const std::vector<const node_record*> relays =
       context_.nodes.relays_of(context_.self.region, now);
--- a/node/src/heartbeat_service.h
+++ b/node/src/heartbeat_service.h
@@ -1,5 +1,6 @@
-// Heartbeats within the region, summaries between regions by relays, and the
-// round trips to other regions. Large regions use digests (digest_service).
+// Heartbeats within the region, summaries that relays exchange between regions,
+// and round-trip times to other regions. Large regions use digests instead of
+// heartbeats between all nodes (digest_service).
 #pragma once
 
 #include <cstdint>
@@ -12,8 +13,8 @@
 
 namespace trestlepost::node {
 
-/// Sends and takes this node's signs of life, by the way that the size of the
-/// region calls for.
+/// Sends this node's heartbeats and handles those of others: directly in small
+/// regions, through relays in large ones.
 class heartbeat_service {
  public:
   heartbeat_service(node_context& context,
@@ -21,9 +22,10 @@
 
   void start();
   void tick();
-  /// Sends a heartbeat to all at once, for news that can't wait.
+  /// Sends heartbeats, digests and summaries immediately, for a change of
+  /// state that must not wait for the next interval.
   void announce();
-  /// Called with what the other gateways of the region have under way.
+  /// Called with the requests in flight from the region's other gateways.
   std::function<void(const membership::endpoint_sums&)> on_region_heard;
 
  private:
@@ -34,17 +36,18 @@
   void send_heartbeats();
   void send_summaries();
   void send_pings();
-  /// In a region without digests: the heartbeats of all its nodes.
+  /// Sends the heartbeats of all nodes of a region that uses no digests.
   void send_summary_of_nodes(const std::vector<std::string>& addresses);
-  /// Another gateway's news came.
+  /// Handles new load data from another gateway of the region.
   void heard_region();
-  /// Passes on what the other gateways have under way.
+  /// Reports the other gateways' requests in flight to the endpoint tracker
+  /// and to `on_region_loads`.
   void share_in_flight();
 
   node_context& context_;
   std::function<membership::heartbeat()> make_heartbeat_;
   digest_service digests_;
-  bool unshared_ = false;  // news came that were not passed on yet
+  bool unshared_ = false;  // new load data not reported yet
   std::uint64_t sequence_ = 0;
   monotonic_time next_beat_;
   monotonic_time next_summary_;
--- a/node/src/leader_finder.cc
+++ b/node/src/leader_finder.cc
@@ -5,7 +5,7 @@
 bool leader_finder::learn(const std::string& leader, monotonic_time now) {
   if (leader.empty() || leader == leader_) return false;
   leader_ = leader;
-  // It gets its own time to answer: the silence of the one before is not its.
+  // A new leader has the full timeout to answer.
   heard_at_ = now;
   return true;
 }
--- a/node/src/leader_finder.h
+++ b/node/src/leader_finder.h
@@ -1,5 +1,5 @@
-// Whom a node asks for the configuration: the leader, or while none answers,
-// one control node after the other until one names the leader.
+// Finds the leader of the configuration group. While no leader answers, control
+// nodes are queried in turn until one of them names the leader.
 #pragma once
 
 #include <chrono>
@@ -11,26 +11,28 @@
 
 namespace trestlepost::node {
 
+/// Tracks the last known leader and whether it still answers.
 class leader_finder {
  public:
-  /// A leader that has not confirmed anything for `patience` is given up.
+  /// A leader that has not confirmed its lead for `patience` is dropped.
   explicit leader_finder(std::chrono::milliseconds patience)
       : patience_(patience) {}
 
-  /// A control node names the leader. True when this is news.
+  /// Records the leader named by a control node. True when it is a new one.
   bool learn(const std::string& leader, monotonic_time now);
-  /// The leader confirmed that it leads.
+  /// Records that the leader confirmed that it leads.
   void confirmed(monotonic_time now) { heard_at_ = now; }
 
-  /// The leader to ask at `now`; empty: ask `next_of` all control nodes.
+  /// The leader at `now`. When empty, query the control node that `next_of`
+  /// returns.
   const std::string& leader(monotonic_time now);
-  /// The next of `all` in turn; empty when there are none.
+  /// Selects from `all` in round-robin order; empty when `all` is.
   std::string next_of(const std::vector<std::string>& all);
 
  private:
   std::chrono::milliseconds patience_;
   std::string leader_;
-  monotonic_time heard_at_;  // or when it was learned
+  monotonic_time heard_at_;  // or when it was named
   std::size_t next_ = 0;
 };
 
--- a/node/src/ledger_service.cc
+++ b/node/src/ledger_service.cc
@@ -19,7 +19,7 @@
 constexpr milliseconds heartbeat_interval{120};
 constexpr milliseconds join_interval{500};
 constexpr milliseconds fence_interval{300};
-constexpr std::size_t prefix_size = 12;
+constexpr std::size_t prefix_size = 12;  // characters
 
 }  // namespace
 
@@ -101,8 +101,8 @@
   host_ = std::move(host);
   group_id_ = founding.group_id;
   update_voters();
-  // Every founding voter starts from the same first state, so none has to
-  // wait for another; one that has a log already goes on with it.
+  // All founding voters start from the same initial state, so none has to wait
+  // for another. A voter that has a log continues with it.
   for (const consensus::member& it : founding.members) {
     if (it.id != self || !host_->core().group_id().empty()) continue;
     host_->found(now, founding.group_id, founding.members);
@@ -199,7 +199,7 @@
       ledger::fence_from(member_of(params, "command"));
   const std::string reply_to = text_of(params, "reply_to");
   const std::string asked_attempt = asked.attempt;
-  // Each resend gets an id of its own here, so that each is answered.
+  // Each resend gets its own attempt id here, so that each is answered.
   asked.attempt = make_attempt_id();
   claims_.fence(asked, context_.clock.now(),
                 [this, reply_to, asked_attempt](const claim_decision& it) {
--- a/node/src/ledger_service.h
+++ b/node/src/ledger_service.h
@@ -1,4 +1,5 @@
-// The run-once ledger of this node's region, and the way to other regions'.
+// The replica of the region's run-once ledger on this node, and fencing of
+// attempts in the ledgers of other regions.
 #pragma once
 
 #include <functional>
@@ -14,6 +15,8 @@
 
 namespace trestlepost::node {
 
+/// Claims run-once requests in the region's replicated ledger, so that at most
+/// one attempt of each runs.
 class ledger_service final : public gateway::run_once,
                              public ledger::command_proposer,
                              public consensus::message_sink {
@@ -23,7 +26,8 @@
   void start();
   void tick();
 
-  /// Tells where the ledger of this region was founded.
+  /// Starts this node's replica of the ledger with `founding`. Does nothing
+  /// when it runs already or the ledger is another region's.
   void learn(const config::ledger_founding& founding);
 
   transport::awaitable<result<ledger::claim_decision>> claim(
@@ -37,7 +41,8 @@
   void propose(const json& command) override;
   void send(const consensus::message& out) override;
 
-  /// Null until the ledger is founded and this node takes part.
+  /// The replica; null until the ledger is founded and this node has started
+  /// its replica.
   const consensus::group_host* host() const { return host_.get(); }
   std::size_t records() const { return machine_.size(); }
   std::size_t pending() const { return claims_.pending(); }
@@ -46,6 +51,7 @@
   using begin_function =
       std::function<void(ledger::claim_table::decided_function)>;
 
+  /// A fence sent to another region, until its decision is received.
   struct remote_fence {
     std::string region;
     json params;
@@ -59,6 +65,8 @@
   void send_fence(remote_fence& it);
   void update_voters();
   void ask_to_join();
+  /// Calls `begin` and waits for the decision; calls `give_up` and fails at
+  /// the deadline.
   transport::awaitable<result<ledger::claim_decision>> wait_for(
       begin_function begin, std::function<void()> give_up,
       monotonic_time deadline);
--- a/node/src/ledger_voters.cc
+++ b/node/src/ledger_voters.cc
@@ -6,7 +6,7 @@
 namespace trestlepost::node {
 namespace {
 
-// With three, one may be lost.
+// Three voters tolerate the loss of one.
 constexpr std::size_t ledger_voters = 3;
 
 }  // namespace
--- a/node/src/ledger_voters.h
+++ b/node/src/ledger_voters.h
@@ -1,4 +1,4 @@
-// Which gateways of a region vote in its ledger.
+// Selects the gateways of a region that vote in its run-once ledger.
 #pragma once
 
 #include <vector>
@@ -7,9 +7,9 @@
 
 namespace trestlepost::node {
 
-/// The nodes that should vote in the ledger of a region: three, those with a
-/// disk first; with fewer than three gateways only those with a disk, because
-/// two voters without a disk could not survive a restart.
+/// Selects three voters, gateways with a disk first. With fewer than three
+/// gateways only those with a disk vote, because two voters without a disk
+/// would lose the ledger when one restarts.
 std::vector<membership::node_info> choose_ledger_voters(
     std::vector<membership::node_info> gateways);
 
--- a/node/src/listing_news.cc
+++ b/node/src/listing_news.cc
@@ -13,29 +13,29 @@
 using surface::listed_endpoint;
 using surface::start_time;
 
-// A gateway is told the whole list this often, whatever it has.
+// Each gateway is sent the full list at this interval, whatever version it has.
 constexpr milliseconds whole_interval{10'000};
-// Spans of time shrink by themselves; they are told anew when they differ
-// from that by more than this.
+// Receivers count durations down themselves. A duration is sent again when it
+// differs from the count by more than this.
 constexpr milliseconds span_tolerance{500};
-// An endpoint that left the list is named as gone for longer than any
-// gateway goes without a whole list.
+// How long removed endpoints are remembered; longer than the interval between
+// two full lists to any gateway.
 constexpr milliseconds gone_memory{60'000};
 
-// A gateway without a list that the platform turned away tries again after
-// this and as much again by chance: gateways that restart together would
-// exceed the platform's calls a second together again.
+// A gateway without a list whose read failed retries after this delay plus a
+// random delay of up to the same length. Without the random part, gateways that
+// restart together would exceed the platform's rate limit together again.
 constexpr milliseconds first_list_retry{150};
 
-// By how much later each gateway takes over than the one before it: the news of
-// one that took over reach the others meanwhile. Behind the first ones, who are
-// all gone only after a great loss, the steps are short, so that the last of a
-// hundred waits 4 s more.
+// By how much later each gateway takes over than the one ranked before it. The
+// step leaves time to receive the update of the one that took over. The first
+// ranks all fail only in a large outage, so later ranks use a short step: the
+// last of a hundred gateways waits about 4 s more than the first.
 constexpr std::size_t ranks_far_apart = 8;
 constexpr milliseconds takeover_step{300};
 constexpr milliseconds late_takeover_step{20};
 
-/// What is left of `span` after the time `by`.
+/// What is left of `span` when `by` has passed.
 milliseconds shrunk(milliseconds span, milliseconds by) {
   return std::max(milliseconds(0), span - by);
 }
@@ -44,7 +44,7 @@
   return (a > b ? a - b : b - a) <= span_tolerance;
 }
 
-/// By how much sooner the second whole list comes to this gateway.
+/// By how much the second full list to this gateway is sent earlier.
 milliseconds time_ahead(const std::string& gateway) {
   const std::uint64_t score = rendezvous_score("whole-list", gateway);
   const std::uint64_t interval =
@@ -52,7 +52,7 @@
   return milliseconds(static_cast<std::int64_t>(score % interval));
 }
 
-/// Whether a gateway that has `a` need not be told `b`.
+/// Whether a gateway that has `a` need not be sent `b`.
 bool same(const listed_endpoint& a, const listed_endpoint& b) {
   const bool ends = a.ends_in.has_value() == b.ends_in.has_value() &&
                     (!a.ends_in || near(*a.ends_in, *b.ends_in));
@@ -96,7 +96,7 @@
 
 result<listing_news> refused(const std::string& why) {
   return fail(error_kind::bad_input, "a list of endpoints " + why,
-              "check that all nodes run versions that speak with each other");
+              "check that all nodes run compatible versions");
 }
 
 }  // namespace
@@ -119,9 +119,9 @@
 
 milliseconds listing_patience(bool heard, bool first_start,
                               milliseconds interval, std::size_t rank) {
-  // The first start comes well before any request: reading once is enough.
-  // After a restart nobody may be there to tell, and without a list a gateway
-  // serves nobody.
+  // On the first start of a deployment there are no requests yet, so waiting
+  // for the reader is fine. After a restart there may be no reader to wait for,
+  // and a gateway without a list serves no requests.
   const bool restarted = !heard && !first_start;
   if (restarted) return milliseconds(0);
   const std::size_t early = std::min(rank, ranks_far_apart);
@@ -169,7 +169,7 @@
   out.version = number_of(value, "version");
   out.covers = number_of(value, "covers");
   if (out.reader.empty() || out.life == 0) return refused("names no reader");
-  if (out.since > out.version) return refused("goes back in its versions");
+  if (out.since > out.version) return refused("starts after its own version");
   for (const json& it : member_of(value, "endpoints")) {
     listed_endpoint one = listed_endpoint_from(it);
     if (one.identity.id.empty())
@@ -177,7 +177,7 @@
     out.endpoints.push_back(std::move(one));
   }
   for (const json& it : member_of(value, "gone")) {
-    if (!it.isString()) return refused("has an id that is no text");
+    if (!it.isString()) return refused("has a removed id that is not a string");
     out.gone.push_back(it.asString());
   }
   return out;
@@ -216,8 +216,8 @@
   const std::uint64_t since = whole ? 0 : last.version;
   last.version = version_;
   if (whole) last.whole_at = now;
-  // All begin together: the next whole lists of a hundred gateways would keep
-  // a small VM and its link busy for seconds.
+  // Gateways that start together would also get their next full list together;
+  // for a hundred gateways that occupies a small VM and its link for seconds.
   if (is_new) last.whole_at -= time_ahead(gateway);
   return since;
 }
@@ -242,7 +242,7 @@
   view& it = readers_[in.reader];
   const bool other_life = it.life != in.life;
   if (in.since > 0 && (other_life || in.since > it.version)) return false;
-  // Overtaken by newer news of the same reader.
+  // A newer update of the same reader arrived first.
   if (!other_life && in.version < it.version) return true;
   if (in.since == 0) it.endpoints.clear();
   it.life = in.life;
--- a/node/src/listing_news.h
+++ b/node/src/listing_news.h
@@ -1,5 +1,6 @@
-// What changed in the list of endpoints, from the gateway that reads it to
-// the others of its region. The decisions only; listing_service sends.
+// Replicates the platform's endpoint list from the gateway that reads it to the
+// other gateways of its region: which gateway reads, which changes each of the
+// others is missing, and how they are applied. Sends nothing itself.
 #pragma once
 
 #include <chrono>
@@ -19,79 +20,84 @@
 
 namespace trestlepost::node {
 
-/// An endpoint with the time to which its spans of time refer.
+/// An endpoint with the time at which its durations were measured.
 struct dated_endpoint {
   surface::listed_endpoint endpoint;
   monotonic_time at;
 
-  /// The endpoint with its spans as they are at `now`.
+  /// The endpoint with its remaining durations as of `now`.
   surface::listed_endpoint as_of(monotonic_time now) const;
 };
 
-/// What has changed after version `since`; all of it when that is 0.
+/// The changes of the list after version `since`; the full list when that is
+/// 0.
 struct listing_news {
   std::string reader;
-  std::uint64_t life = 0;  // of the reader's process
+  std::uint64_t life = 0;  // random id of the reader's process
   std::uint64_t since = 0;
   std::uint64_t version = 0;
-  /// The list shows what the configuration did to endpoints up to this
-  /// revision.
+  /// The list reflects the effects of the configuration up to this revision.
   config::revision_number covers = 0;
   std::vector<surface::listed_endpoint> endpoints;
-  std::vector<std::string> gone;  // names of lives
+  std::vector<std::string> gone;  // endpoint identities
 };
 
 json to_json(const listing_news& value);
-/// Refuses news that contradict themselves.
+/// Fails when the update is inconsistent or incomplete.
 result<listing_news> listing_news_from(const json& value);
 
-/// A gateway that was told nothing for so many intervals reads for itself.
+/// Poll intervals without an update after which a gateway reads the list
+/// itself.
 inline constexpr int silent_intervals = 3;
 
-/// The order in which the gateways of a region read the list, as one of them
-/// sees it: the first reads, and the others take its place one after the other.
+/// The position of one gateway in the region's order of readers. The first
+/// gateway reads the list; when it fails, the next one in order takes over.
 struct reading_order {
   std::string first;
-  /// How many gateways come before the one that asks.
+  /// The number of gateways that precede this one.
   std::size_t own_rank = 0;
 };
 
-/// `gateways` holds `self` too.
+/// Ranks the gateways of a region by rendezvous hashing, so that all agree on
+/// the order without messages. `gateways` includes `self`.
 reading_order order_of_reading(const std::string& region,
                                const std::set<std::string>& gateways,
                                const std::string& self);
 
-/// For how long a gateway waits to be told before it reads for itself.
-/// `first_start`: the whole deployment starts for the first time. Those that
-/// come later in the order wait longer, so that they hear of the one that took
-/// over: did all read at once when the reader is late, each would tell all
-/// others, and the next reader would be late too.
+/// How long a gateway waits for an update before it reads the list itself.
+/// `heard`: it has a list already. `first_start`: the whole deployment starts
+/// for the first time. The wait grows with `rank`, so that a gateway receives
+/// the update of the one that took over before its own wait ends. If all read
+/// at once when the reader is late, each would send the list to all others, and
+/// the next reader would be late too.
 std::chrono::milliseconds listing_patience(bool heard, bool first_start,
                                            std::chrono::milliseconds interval,
                                            std::size_t rank = 0);
 
-/// Time until the list is read again after a reading that failed.
+/// Delay before the list is read again after a failed read.
 std::chrono::milliseconds time_to_reread(bool heard,
                                          std::chrono::milliseconds interval,
                                          random_source& random);
 
-/// On the reader: numbers the changes of the list.
+/// Used by the reader: numbers the changes of the list and tracks the version
+/// that each gateway was sent.
 class listing_writer {
  public:
   listing_writer(std::string reader, std::uint64_t life)
       : reader_(std::move(reader)), life_(life) {}
 
-  /// Takes in the list as it was read at `now`; it covers the configuration
-  /// up to `covers`.
+  /// Replaces the list by the one read at `now`, which reflects the
+  /// configuration up to `covers`.
   void update(const std::vector<surface::listed_endpoint>& all,
               config::revision_number covers, monotonic_time now);
-  /// After which version the news to `gateway` begin now, which it counts as
-  /// told: after that which it was told last, or 0, for the whole list, from
-  /// time to time. Gateways get the whole list at different times.
+  /// Returns the version after which the next update to `gateway` starts, and
+  /// records the current version as sent. 0 stands for the full list, which
+  /// each gateway gets at regular intervals, at a different time than others.
   std::uint64_t tell(const std::string& gateway, monotonic_time now);
-  /// What has changed after version `since`; the same for all who have that.
+  /// The changes after version `since`; the same for every gateway at that
+  /// version.
   listing_news news_since(std::uint64_t since, monotonic_time now) const;
-  /// The next news to `gateway` have the whole list.
+  /// Makes the next update to `gateway` a full list.
   void forget(const std::string& gateway) { told_.erase(gateway); }
   bool empty() const { return version_ == 0; }
 
@@ -114,14 +120,15 @@
   std::map<std::string, told> told_;
 };
 
-/// On the others: the list as its readers told it.
+/// Used by the other gateways: the list as received from its readers.
 class listing_copy {
  public:
-  /// False when earlier news are missing: the whole list must be asked for.
+  /// Applies an update. False when an earlier one is missing: the full list
+  /// must be requested.
   bool take(const listing_news& in, monotonic_time now);
-  /// The list of the reader whose news came last.
+  /// The list of the reader that sent the last update.
   std::vector<surface::listed_endpoint> all(monotonic_time now) const;
-  /// Up to which revision of the configuration that list tells.
+  /// The configuration revision that this list reflects.
   config::revision_number covers() const;
 
  private:
--- a/node/src/listing_pages.cc
+++ b/node/src/listing_pages.cc
@@ -6,7 +6,7 @@
 namespace trestlepost::node {
 namespace {
 
-/// Whether a name needs no escapes in a query.
+/// Whether a name can be put into a URL query without escaping.
 bool is_plain(const std::string& name) {
   return !name.empty() &&
          std::all_of(name.begin(), name.end(), [](unsigned char it) {
@@ -25,7 +25,7 @@
   std::vector<std::string> zones;
   for (const auto& [zone, entries] : last.own_zones) {
     if (!is_plain(zone)) return whole;
-    // An empty zone, too, takes a call to see that it is.
+    // An empty zone takes a call, too.
     pages += std::max<std::size_t>(
         1, (entries + last.page_size - 1) / last.page_size);
     zones.push_back(zone);
--- a/node/src/listing_pages.h
+++ b/node/src/listing_pages.h
@@ -1,5 +1,6 @@
-// Whether the platform's list is read whole or zone by zone: each page is a
-// call, and calls have a price.
+// Decides whether the platform's endpoint list is read in full or zone by zone,
+// whichever takes fewer calls: each page is a call, and the platform limits
+// their rate.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +10,16 @@
 
 namespace trestlepost::node {
 
-/// What the last reading of the whole list found.
+/// The size of the list at the last full read.
 struct listing_size {
   std::size_t pages = 0;      // 0: not read yet
   std::size_t page_size = 0;  // entries of the largest page
-  /// Entries in each zone of the own region.
+  /// Number of entries by availability zone of the own region.
   std::map<std::string, std::size_t> own_zones;
 };
 
-/// The zones to read one after the other; an empty name is the whole list.
+/// The zones to read one after the other; an empty name stands for the full
+/// list.
 std::vector<std::string> zones_to_read(const listing_size& last);
 
 }  // namespace trestlepost::node
--- a/node/src/listing_service.cc
+++ b/node/src/listing_service.cc
@@ -18,21 +18,21 @@
 using surface::listed_endpoint;
 using transport::awaitable;
 
-// Until the platform has answered for a page.
+// For one page of the list.
 constexpr milliseconds read_timeout{1000};
 constexpr std::size_t largest_page = 4UL * 1024 * 1024;  // bytes
 constexpr unsigned ok_status = 200;
-// A gateway that has no list yet asks the reader for it this often.
+// How often a gateway without a list requests it from the reader.
 constexpr milliseconds ask_interval{300};
-// Who should read is found out this often: it takes a walk over all gateways of
-// the region.
+// How often the reader is determined, which iterates over all gateways of the
+// region.
 constexpr milliseconds check_interval{100};
-// The first books name only those who asked the leader before.
+// The leader's first updates list only the nodes that have polled it so far.
 constexpr milliseconds book_settling{500};
-// How often the whole list is read: to see whether that takes fewer calls, and
-// for the endpoints of other regions, which are hints only.
+// How often the full list is read: to compare its number of pages with reads by
+// zone, and for the endpoints of other regions, which are hints only.
 constexpr milliseconds whole_read_interval{10'000};
-// Pages of one list; more of them mean a list that never ends.
+// A list with more pages is taken for one that never ends.
 constexpr int most_pages = 1000;
 
 }  // namespace
@@ -116,7 +116,7 @@
   if (context_.nodes.find(gateway) != nullptr) {
     return context_.nodes.is_live(gateway, now);
   }
-  // The book names it, and its first heartbeat may still be on its way.
+  // The directory lists it, and its first heartbeat may not have arrived yet.
   const milliseconds interval = context_.options.timing.platform_poll_interval;
   return now < started_at_ + silent_intervals * interval;
 }
@@ -148,7 +148,8 @@
       heard_, context_.options.found_at_first_start, interval, all.own_rank);
   took_over_ = now >= heard_at_ + patience;
   if (took_over_) return true;
-  // Until the book comes a node knows of no others, and all would read.
+  // Without the leader's node directory a gateway knows no others, and all of
+  // them would read.
   if (context_.book.empty()) return false;
   if (!book_since_) book_since_ = now;
   if (now < *book_since_ + book_settling) return false;
@@ -161,8 +162,8 @@
 }
 
 bool listing_service::tells() const {
-  // More nodes may be known than when the reading began: at a start many take
-  // themselves for the first.
+  // More nodes may be known now than when the read began: at startup many
+  // gateways take themselves for the first reader.
   return took_over_ || order().own_rank == 0;
 }
 
@@ -171,8 +172,8 @@
   configured_.note(context_.store.revision(), context_.clock.now());
   const bool is_first = !configured && configured_.first() > 0;
   if (!is_first || context_.store.given_back().empty()) return;
-  // A list from before tells nothing of the zones that were given back since,
-  // and waiting for the reader's takes up to a second.
+  // A list read earlier does not show the state of zones whose evacuation has
+  // ended since, and the reader's next update takes up to a second.
   must_read_ = true;
   next_read_ = context_.clock.now();
 }
@@ -256,11 +257,12 @@
 }
 
 awaitable<void> listing_service::read_all() {
-  // What has been in force here for longer than the list lags is in the list
-  // that is asked for now.
+  // The platform's list lags. It reflects the revisions that have been in force
+  // for longer than that.
   const config::revision_number covers = configured_.at(context_.clock.now());
-  // The first configuration is no change that has just been made, as a rule:
-  // to wait until it has settled would cost a second of each start.
+  // The first configuration after a start was usually decided long before.
+  // Waiting for the list to catch up with it would delay each start by a
+  // second.
   const config::revision_number covers_here =
       std::max(covers, configured_.first());
   surface::endpoint_page read;
@@ -280,7 +282,7 @@
     size_ = {};
     co_return;
   }
-  if (lost_) log_event(log_level::info, "platform-list-back");
+  if (lost_) log_event(log_level::info, "platform-list-restored");
   lost_ = false;
   unreadable_.note(read.unreadable);
   std::vector<listed_endpoint> all = std::move(read.endpoints);
@@ -294,7 +296,8 @@
   heard_from(context_.self.name);
   read_at_ = heard_at_;
   if (on_listed) on_listed(all, covers_here);
-  // Those of other regions too: prompt parts may be copied from them.
+  // Includes endpoints of other regions: cached prompt prefixes may be copied
+  // from them.
   writer_.update(all, covers, context_.clock.now());
   if (tells()) tell_others();
 }
@@ -326,7 +329,7 @@
 }
 
 void listing_service::tell_others() {
-  // Written once for all who have the same version.
+  // Serialized once for all gateways at the same version.
   std::map<std::uint64_t, transport::packed_notification> news;
   const monotonic_time now = context_.clock.now();
   for (const membership::node_record* it :
--- a/node/src/listing_service.h
+++ b/node/src/listing_service.h
@@ -1,5 +1,6 @@
-// Follows the deployment's list of endpoints. One gateway of a region reads
-// it and tells the others; one that hears nothing reads it itself.
+// Keeps the platform's endpoint list up to date on this gateway. One gateway of
+// a region polls the platform and sends updates to the others; a gateway that
+// receives no updates polls the platform itself.
 #pragma once
 
 #include <functional>
@@ -16,8 +17,8 @@
 
 namespace trestlepost::node {
 
-/// Reads the list when this gateway is the reader, and keeps what it is told
-/// otherwise.
+/// Polls the platform when this gateway is the reader, and applies the reader's
+/// updates otherwise.
 class listing_service {
  public:
   listing_service(node_context& context,
@@ -26,11 +27,11 @@
   void start();
   void tick();
 
-  /// How many entries of the last list read here name no endpoint to use.
+  /// The number of unusable entries in the list last read by this node.
   std::size_t unreadable() const { return unreadable_.count(); }
 
-  /// Called with each list that comes, and the revision of the configuration
-  /// up to which it tells.
+  /// Called with each list that is read or received, and the configuration
+  /// revision that it reflects.
   std::function<void(const std::vector<surface::listed_endpoint>&,
                      config::revision_number)>
       on_listed;
@@ -39,36 +40,38 @@
   transport::awaitable<void> read_all();
   transport::awaitable<result<surface::endpoint_page>> read_page(
       std::string zone, std::string token);
-  /// Reads a zone or, with an empty name, the whole list, and adds it to
-  /// `all`; false on failure.
+  /// Reads a zone, or the full list when the name is empty, and appends it to
+  /// `all`. Logs a failure and returns false.
   transport::awaitable<bool> read_zone(std::string zone,
                                        surface::endpoint_page& all);
-  /// Notes which configuration is in force.
+  /// Records when each configuration revision came into force, and forces a
+  /// read when the first one lists ended evacuations.
   void note_configuration();
-  /// The zones to read now.
+  /// The zones to read now; an empty name stands for the full list.
   std::vector<std::string> next_zones();
-  /// Notes how many entries each zone of the own region has.
+  /// Counts the entries of each zone of the own region.
   void measure(const std::vector<surface::listed_endpoint>& all);
   bool is_in_own_region(const surface::listed_endpoint& it) const;
   std::vector<surface::listed_endpoint> in_other_regions(
       std::vector<surface::listed_endpoint> all) const;
   void handle_news(const json& params);
   void handle_ask(const json& params);
-  /// Who should read, as far as this node knows.
+  /// The order of readers among the gateways known to this node.
   reading_order order() const;
-  /// Whether `gateway` lives, or may still send its first heartbeat.
+  /// Whether `gateway` is live, or its first heartbeat may still be due.
   bool may_live(const std::string& gateway) const;
-  /// Whether this node reads now; asks the reader when it has no list yet.
+  /// Whether this node should read the list now. When not, and it has no list
+  /// yet, requests one from the reader.
   bool should_read();
-  /// Whether the others are to be told what this node has read.
+  /// Whether the list read by this node is sent to the other gateways.
   bool tells() const;
-  /// Asks `gateway` for the whole list.
+  /// Requests the full list from `gateway`.
   void ask(const std::string& gateway);
   void tell(const std::string& gateway, const std::string& address);
   transport::packed_notification pack_news(std::uint64_t since) const;
   void tell_others();
-  /// Notes that a list came from `reader`, and logs when that is another one
-  /// than before.
+  /// Records that a list was received from `reader`, and logs a change of
+  /// reader.
   void heard_from(const std::string& reader);
 
   node_context& context_;
@@ -78,23 +81,23 @@
   monotonic_time next_read_;
   monotonic_time next_ask_;
   monotonic_time next_check_;  // of who should read
-  bool took_over_ = false;     // it reads since the reader is silent
+  bool took_over_ = false;     // reads because the reader sends no updates
   monotonic_time started_at_;
-  monotonic_time heard_at_;  // or when it started
-  monotonic_time read_at_;   // of the last list read by this node
-  bool heard_ = false;       // whether it has a list
-  std::string last_reader_;  // whose list came last
+  monotonic_time heard_at_;  // or when the service started
+  monotonic_time read_at_;   // when this node last read the list
+  bool heard_ = false;       // has a list, read or received
+  std::string last_reader_;  // the node that read the current list
   settled_revision configured_;
-  bool must_read_ = false;  // whatever others read
-  /// Since when the leader has told this node of others.
+  bool must_read_ = false;  // even if this node is not the reader
+  /// When the leader first sent entries of its node directory.
   std::optional<monotonic_time> book_since_;
   listing_size size_;
   monotonic_time next_whole_;
-  /// Of the last whole list; zone by zone only the own region's are read.
+  /// From the last full list; reads by zone cover the own region only.
   std::vector<surface::listed_endpoint> elsewhere_;
   unreadable_entries unreadable_;
   bool reading_ = false;
-  bool lost_ = false;  // the last reading failed
+  bool lost_ = false;  // the last read failed
 };
 
 }  // namespace trestlepost::node
--- a/node/src/main.cc
+++ b/node/src/main.cc
@@ -1,4 +1,4 @@
-// trestlepostd: one node of trestlepost.
+// trestlepostd: the daemon that runs one node.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -35,23 +35,26 @@
 using transport::awaitable;
 
 constexpr milliseconds tick_interval{25};
-// A turn of the loop that takes longer is logged: half of the time for which
-// a leader may be silent before others stand.
+// An event loop iteration that takes longer is logged as a stall: half of the
+// time without heartbeats after which followers start an election.
 constexpr milliseconds long_turn{250};
-// A VM without power says nothing, and a first packet that it missed is sent
-// again only after a second: trying anew finds it sooner. Two round trips of
-// the longest way between regions, 160 ms, fit into it.
+// A VM without power does not answer, and TCP retransmits a lost SYN only after
+// a second, so reconnecting finds a restarted VM sooner. Covers two round trips
+// between the most distant regions, 160 ms each.
 constexpr milliseconds peer_connect_timeout{350};
-// Endpoints of the platform keep idle connections until they say otherwise.
+// Endpoints of the platform keep idle connections open until they announce the
+// close.
 constexpr milliseconds kept_connection_lifetime{60'000};
-// The longest way is between regions, some 110 ms there and back.
+// Covers the longest round trip to an endpoint, about 110 ms between regions.
 constexpr milliseconds endpoint_connect_timeout{400};
+// In seconds.
 const prometheus::Histogram::BucketBoundaries confirm_buckets{
     0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
 
 }  // namespace
 
-/// Parts that others are built from.
+/// What the other members are constructed from and what can fail to load: the
+/// clock, the charts, the lock of the data folder and the incarnation.
 struct node::foundation {
   result<void> prepare(const settings& options);
 
@@ -146,14 +149,15 @@
 
 }  // namespace
 
+/// The services of the node. Services refer to those declared before them.
 struct node::implementation {
   implementation(settings o, foundation& base, std::string file);
 
   result<void> start();
   membership::heartbeat make_heartbeat();
   void declare_endpoints();
-  /// What this gateway sees of crashes goes to the control nodes, and what
-  /// they suspect comes back.
+  /// Connects the crash monitor of this gateway with the control nodes: sends
+  /// them its reports and receives suspected requests and proposed holds.
   void connect_crash_reports();
   result<void> listen_all();
   bool routed() const { return options.surface == surface_kind::platform; }
@@ -162,7 +166,7 @@
   awaitable<void> run_ticks();
   awaitable<void> wait_for_signals();
   void collect_metrics();
-  /// Notes that a tick that was due at `due` runs only now.
+  /// Records the delay of a tick that was due at `due`, and logs a long one.
   void note_turn(monotonic_time due);
 
   settings options;
@@ -205,7 +209,7 @@
   prometheus::Family<prometheus::Gauge>& node_gauges;
   prometheus::Histogram& confirm_seconds;
   std::uint64_t sequence = 0;
-  /// The longest time by which a tick was late.
+  /// The longest delay of a tick since the start.
   milliseconds longest_turn{0};
 };
 
@@ -285,7 +289,8 @@
                           .Help("From a decision until all watchers hold it.")
                           .Register(*registry)
                           .Add({}, confirm_buckets)) {
-  // Above every number of an earlier life, so that peers take it for newer.
+  // Higher than any sequence number sent before a restart, so that peers accept
+  // the new heartbeats as newer.
   sequence = static_cast<std::uint64_t>(to_unix_ms(base.clock.wall_now()));
 }
 
@@ -305,7 +310,7 @@
 }
 
 void node::implementation::declare_endpoints() {
-  if (routed()) return;  // they come from the platform's list
+  if (routed()) return;  // endpoints come from the platform's list
   std::vector<membership::endpoint_tracker::declared_endpoint> own;
   for (const auto& [name, it] : store.endpoints()) {
     if (it->region != options.region) continue;
@@ -396,9 +401,10 @@
 }
 
 awaitable<void> node::implementation::run_ticks() {
-  // By the clock that the system's own timers go by. After a suspension all
-  // timers of the other clock may lie in the past, and none of them wakes the
-  // loop; this one does, and they fire with it.
+  // Uses std::steady_clock, like the timers of the operating system. After a
+  // suspension of the VM all timers of the node's own clock may be overdue, and
+  // none of them wakes the event loop. This timer does, and the others expire
+  // with it.
   boost::asio::steady_timer timer(io);
   monotonic_time due = base.clock.now();
   while (!stop.ended()) {
@@ -436,7 +442,7 @@
       std::chrono::duration_cast<milliseconds>(base.clock.now() - due);
   longest_turn = std::max(longest_turn, late);
   if (late < long_turn) return;
-  log_event(log_level::warn, "turn-took-long",
+  log_event(log_level::warn, "event-loop-stalled",
             {{"ms", std::to_string(late.count())}});
 }
 
@@ -491,7 +497,7 @@
 }
 
 void node::implementation::take_settings(const settings& next) {
-  // Who this node is, its addresses and its disk hold until a restart.
+  // The node's identity, addresses and data folder change only by a restart.
   options.seeds = next.seeds;
   options.operators = next.operators;
   options.platform_address = next.platform_address;
--- a/node/src/node.h
+++ b/node/src/node.h
@@ -1,4 +1,5 @@
-// One node: builds its services from settings and runs them on one thread.
+// One node of a deployment: builds its services from the settings and runs them
+// on one thread.
 #pragma once
 
 #include <memory>
@@ -10,14 +11,14 @@
 
 class node {
  public:
-  /// `file` is watched for changes; empty: it is not.
+  /// `file` is the settings file to watch for changes; empty for none.
   explicit node(settings options, std::string file = "");
   ~node();
 
-  /// Opens all interfaces; an error names what is wrong and the remedy.
+  /// Starts all services and listens on all interfaces.
   result<void> start();
 
-  /// Runs until a planned stop has ended.
+  /// Runs until a planned stop has completed.
   void run();
 
  private:
--- a/node/src/node_book.cc
+++ b/node/src/node_book.cc
@@ -16,7 +16,7 @@
 
 void node_book::add_news(json& update, std::uint64_t version,
                          const std::string& region) const {
-  // A book of another leader has other versions; then all of it is sent.
+  // A higher version was assigned by another leader; send all entries.
   const std::uint64_t known = version > version_ ? 0 : version;
   json& book = update["book"] = json(Json::arrayValue);
   for (const auto& [name, it] : entries_) {
--- a/node/src/node_book.h
+++ b/node/src/node_book.h
@@ -1,5 +1,5 @@
-// The leader's book of the nodes that polled it, from which it tells each
-// node of those that concern it.
+// The leader's directory of the nodes that have polled it. Each node is sent
+// the entries that it needs.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,17 @@
 
 namespace trestlepost::node {
 
-/// Numbers the changes of its nodes, so that each asker is sent only what is
-/// new to it.
+/// Assigns a version to each change of an entry, so that a node is sent only
+/// the entries that have changed since its last poll.
 class node_book {
  public:
-  /// Takes in what a node says of itself.
+  /// Adds or updates the entry of a node.
   void record(const membership::node_info& info);
-  /// The node of that name, or null.
+  /// The node with that name, or null.
   const membership::node_info* find(const std::string& name) const;
-  /// Adds to `update` what is new for an asker in `region` that has the book
-  /// of `version`.
+  /// Adds to `update` the entries changed since `version` that a node in
+  /// `region` needs: nodes of its region, control nodes, and nodes with a disk
+  /// in other regions, which may be relays.
   void add_news(json& update, std::uint64_t version,
                 const std::string& region) const;
 
--- a/node/src/node_context.h
+++ b/node/src/node_context.h
@@ -1,4 +1,4 @@
-// What the services of one node share.
+// The state and the facilities that the services of one node share.
 #pragma once
 
 #include <cstdint>
@@ -32,14 +32,15 @@
   transport::peer_links& links;
   transport::rpc_dispatcher& peers;
   transport::http_client& client;
-  /// Peers' addresses by node, from the leader's book and the settings.
+  /// The other nodes by name, as sent by the leader.
   std::map<std::string, membership::node_info> book;
+  /// Smoothed round-trip times by region.
   std::map<std::string, std::chrono::milliseconds> round_trips;
 
-  /// The peers' addresses from which control nodes wrote last.
+  /// The peer addresses from which control nodes last sent a message, by name.
   std::map<std::string, std::string> heard_from;
 
-  /// The peers' address of a node, or empty.
+  /// The peer address of a node, or empty.
   std::string peer_address(const std::string& node) const {
     const auto heard = heard_from.find(node);
     if (heard != heard_from.end()) return heard->second;
@@ -52,8 +53,8 @@
     return record == nullptr ? "" : record->last.node.peer_address;
   }
 
-  /// The peers' addresses of all control nodes that this node knows of, its
-  /// own among them.
+  /// The peer addresses of all known control nodes, including this node if it
+  /// is one.
   std::vector<std::string> control_addresses() const {
     std::set<std::string> out;
     for (const control_node& it : options.control_nodes) {
--- a/node/src/operator_service.cc
+++ b/node/src/operator_service.cc
@@ -20,7 +20,7 @@
 constexpr milliseconds relay_interval{400};
 constexpr milliseconds relay_timeout{20'000};
 
-/// Roles in rising order; each may do what the ones before it may.
+/// Roles in ascending order; each includes the permissions of those before it.
 constexpr std::array<std::string_view, 3> roles{"read", "change", "found"};
 
 bool role_covers(const std::string& has, const std::string& needed) {
@@ -32,7 +32,7 @@
 tl::unexpected<error> role_refused(const std::string& needed) {
   return fail(error_kind::unauthorized,
               "this needs the role \"" + needed + "\"",
-              "use the token of an operator who has it");
+              "use the token of an operator with this role");
 }
 
 result<config::change> change_from_params(const json& params,
@@ -46,7 +46,7 @@
   for (const json& it : member_of(params, "edits")) {
     result<config::edit> one = config::edit_from(it);
     if (!one) return tl::make_unexpected(one.error());
-    // Without a stated base the operator acts on what is in force here.
+    // An edit without a base revision applies to the spec in force here.
     if (!one->base) {
       const config::stored_spec* now = store.find_spec(one->kind, one->name);
       one->base = now == nullptr ? 0 : now->revision;
@@ -165,7 +165,7 @@
   });
   add_fast("recover", "found", [this](const json&) -> result<json> {
     if (control_ != nullptr) return control_->recover();
-    return fail(error_kind::bad_input, "this node has no part in the group",
+    return fail(error_kind::bad_input, "this node is not a control node",
                 "run it against the control node that kept its disk");
   });
   add_slow(
@@ -213,7 +213,7 @@
   if (!store.held_requests().contains(fingerprint)) {
     answer(fail(error_kind::not_found,
                 "no request with the fingerprint " + fingerprint + " is held",
-                "list those that are with `trestlepost held`"));
+                "list the held requests with `trestlepost held`"));
     return;
   }
   config::change asked;
@@ -264,11 +264,12 @@
   const rpc_context caller{text_of(params, "operator"),
                            text_of(params, "role")};
   const bool founding = name == "init";
-  // Only the leader may answer; the asker goes on asking.
+  // Only the leader answers; the relaying node repeats the call until then.
   if (!founding && !control_->leads()) return;
   method->second(member_of(params, "params"), caller,
                  [this, ticket, reply_to](const result<json>& answer) {
-                   // The asker repeats itself until it hears an outcome.
+                   // Temporary errors are not sent back: the relaying node
+                   // repeats the call until it receives an outcome.
                    const bool passing =
                        !answer &&
                        (answer.error().kind == error_kind::in_progress ||
--- a/node/src/operator_service.h
+++ b/node/src/operator_service.h
@@ -1,4 +1,5 @@
-// The operators' interface of a node: JSON-RPC over HTTP, and the metrics.
+// The operators' interface of a node: JSON-RPC over HTTP and Prometheus
+// metrics.
 #pragma once
 
 #include <prometheus/registry.h>
@@ -17,6 +18,9 @@
 
 namespace trestlepost::node {
 
+/// Authenticates operators and runs their calls. A call that only the leader or
+/// the founding node can answer is relayed to it, and the caller polls a ticket
+/// for the result.
 class operator_service final : public transport::http_handler {
  public:
   /// `control` is null on a node without that role.
@@ -35,17 +39,20 @@
   std::function<void()> on_drain;
 
  private:
-  /// A call that another node answers.
+  /// A call sent to another node, until it is answered.
   struct relayed_call {
-    std::string target;  // a node; empty: whoever leads
+    std::string target;  // node name; empty: the leader
     json params;
     monotonic_time opened_at;
     monotonic_time sent_at;
   };
 
   void add_methods();
+  /// Adds a method that runs on the leader, or with `at_founder` on the first
+  /// control node, and completes later.
   void add_slow(const std::string& name, const std::string& role,
                 bool at_founder, slow_method local);
+  /// Adds a method that any node answers immediately.
   void add_fast(const std::string& name, const std::string& role,
                 std::function<result<json>(const json&)> method);
   void handle_ask(const json& params);
@@ -64,7 +71,7 @@
   result<json> explain(const json& params) const;
   void apply(const json& params, const transport::rpc_context& caller,
              const answer_function& answer);
-  /// Lets a request that was held back be sent to endpoints again.
+  /// Allows a held request to be sent to endpoints again.
   void release(const json& params, const transport::rpc_context& caller,
                const answer_function& answer);
   json held_requests() const;
--- a/node/src/peer_calls.cc
+++ b/node/src/peer_calls.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr char answer_method[] = "call.answer";
-// Longer than anyone waits for an order.
+// Longer than any order waits for its result.
 constexpr std::chrono::milliseconds call_lifetime{2000};
 
 }  // namespace
@@ -62,12 +62,12 @@
 
 void peer_calls::tick() {
   const monotonic_time now = context_.clock.now();
-  // Tokens rise with time.
+  // Tokens ascend in the order of the calls.
   while (!open_.empty() && open_.begin()->second.since + call_lifetime < now) {
     const answer_function answer = std::move(open_.begin()->second.answer);
     open_.erase(open_.begin());
     answer(fail(error_kind::outcome_unknown, "the leader did not answer",
-                "send the same again"));
+                "send the same call again"));
   }
 }
 
--- a/node/src/peer_calls.h
+++ b/node/src/peer_calls.h
@@ -1,5 +1,5 @@
-// Calls from one control node to another, over notifications, which may be
-// lost: a call that is not answered in time ends with an error.
+// Remote procedure calls between control nodes, built on peer notifications.
+// Notifications may be lost, so a call without an answer fails after a timeout.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,10 @@
 
 namespace trestlepost::node {
 
+/// Sends calls to peers, matches the answers, and serves the peers' calls.
 class peer_calls {
  public:
-  /// Answers a call at the called node, at once or later.
+  /// Handles a call on the called node and answers it, immediately or later.
   using call_handler =
       std::function<void(const json& params, const answer_function& answer)>;
 
@@ -22,9 +23,10 @@
   void start();
   void tick();
 
-  /// Handles the calls of `method` that peers make here.
+  /// Registers the handler for calls of `method` from peers.
   void handle(const std::string& method, call_handler handler);
-  /// Calls the peer; `answer` is called once.
+  /// Calls `method` on the peer at `address`. `answer` is called once, with the
+  /// result or an error.
   void call(const std::string& address, const std::string& method, json params,
             answer_function answer);
 
--- a/node/src/planned_stop.cc
+++ b/node/src/planned_stop.cc
@@ -14,10 +14,11 @@
 using transport::awaitable;
 
 constexpr milliseconds check_interval{25};
-// A stop ends this much before its longest time, after which the process may
-// be killed.
+// A stop ends this long before drain_timeout, after which the process may be
+// killed.
 constexpr milliseconds exit_margin{400};
-// A stop is announced for so long before the node may exit.
+// Minimum time between the announcement of a stop and the exit, so that peers
+// and callers receive it.
 constexpr milliseconds announce_time{1500};
 
 }  // namespace
--- a/node/src/planned_stop.h
+++ b/node/src/planned_stop.h
@@ -1,5 +1,5 @@
-// The planned stop of a node: it is announced, new requests are taken for a
-// grace and those in progress are finished before the node exits.
+// The planned stop of a node: peers are notified, new requests are accepted for
+// a grace period, and requests in progress complete before the node exits.
 #pragma once
 
 #include "heartbeat_service.h"
@@ -10,9 +10,10 @@
 
 namespace trestlepost::node {
 
+/// Runs a planned stop and ends the event loop when it has completed.
 class planned_stop {
  public:
-  /// What is announced, waited for and closed.
+  /// The services that are notified, waited for and shut down.
   struct parts {
     heartbeat_service& heartbeats;
     ledger_service& ledger;
@@ -25,7 +26,7 @@
   planned_stop(node_context& context, const parts& of)
       : context_(context), parts_(of) {}
 
-  /// Begins the stop; once it has begun this does nothing.
+  /// Begins the stop. Further calls have no effect.
   void begin();
   bool ended() const { return ended_; }
 
--- a/node/src/poll_schedule.cc
+++ b/node/src/poll_schedule.cc
@@ -5,8 +5,8 @@
 namespace trestlepost::node {
 namespace {
 
-// After kills of all nodes, gateways that polled this often were confirmed 0.2
-// to 0.35 s after a leader was elected, one round trip of 0.16 s included.
+// After a crash of all nodes, gateways with this interval were confirmed 0.2 to
+// 0.35 s after the election of a leader, including a round trip of 0.16 s.
 constexpr std::chrono::milliseconds urgent_interval{150};
 
 }  // namespace
--- a/node/src/poll_schedule.h
+++ b/node/src/poll_schedule.h
@@ -1,4 +1,5 @@
-// How often a node asks the control nodes for the configuration, and whom.
+// Decides when a node next polls for the configuration and which control nodes
+// it polls.
 #pragma once
 
 #include <chrono>
@@ -9,27 +10,27 @@
 
 namespace trestlepost::node {
 
-/// What a node has when it asks.
+/// The state of a node's configuration at the time of a poll.
 struct poll_situation {
   bool has_configuration = false;
-  /// A leader confirmed not long ago that the configuration is current, or
-  /// that there is none yet.
+  /// A leader has recently confirmed that the configuration is current, or that
+  /// none exists yet.
   bool confirmed = false;
 };
 
-/// Time until the next poll. Without a confirmation none of a node's callers'
-/// requests cross regions, and it takes no configuration: until then it asks
-/// often. `usual`: the interval when all is well, which is also enough while
-/// there is no configuration to have, since the first one is pushed.
+/// Time until the next poll. An unconfirmed node sends no requests to other
+/// regions and accepts no configuration, so it polls often. `usual` is the
+/// interval of a confirmed node; it also applies while no configuration exists,
+/// since the first one is pushed.
 std::chrono::milliseconds time_to_next_poll(const poll_situation& now,
                                             std::chrono::milliseconds usual);
 
-/// The addresses to ask now. A node without any configuration asks all, unless
-/// a leader told it that there is none yet: those it would ask in turn may be
-/// without power, which shows only after a connection's timeout, some
-/// 350 ms for each. Any other node asks the leader, or while none is known the
-/// next one in turn: 300 nodes that all asked five control nodes kept the
-/// leader from its lease, and the first plan was never acknowledged.
+/// The addresses to poll now. A node without a configuration polls all control
+/// nodes, unless a leader has reported that none exists yet: polled in turn,
+/// each one that is down would cost a connect timeout of 350 ms. Any other node
+/// polls the leader, or the next control node in turn while no leader is known:
+/// when 300 nodes all polled five control nodes, the overloaded leader kept
+/// losing its lease and the first plan was never acknowledged.
 std::vector<std::string> whom_to_ask(const poll_situation& now,
                                      const std::string& leader_address,
                                      const std::vector<std::string>& all,
--- a/node/src/probe_service.cc
+++ b/node/src/probe_service.cc
@@ -13,7 +13,7 @@
 using transport::awaitable;
 
 constexpr std::chrono::milliseconds probe_timeout{1000};
-constexpr std::size_t largest_report = 1024UL * 1024;
+constexpr std::size_t largest_report = 1024UL * 1024;  // bytes
 constexpr std::size_t probers_per_endpoint = 2;
 constexpr unsigned ok_status = 200;
 
--- a/node/src/probe_service.h
+++ b/node/src/probe_service.h
@@ -1,4 +1,5 @@
-// Reads what endpoints report of their load, and the platform's list.
+// Polls endpoints of the own surface for their load, and the platform's
+// endpoint list for endpoints that are leaving.
 #pragma once
 
 #include <map>
@@ -9,12 +10,14 @@
 
 namespace trestlepost::node {
 
+/// Polls the endpoints that this node is responsible for; two nodes of the
+/// region poll each endpoint.
 class probe_service {
  public:
   explicit probe_service(node_context& context) : context_(context) {}
 
   void tick();
-  /// The reports that this node read itself, to be shared.
+  /// The loads polled by this node, sent to the other gateways in heartbeats.
   const std::map<std::string, membership::reported_load>& reports() const {
     return reports_;
   }
@@ -23,6 +26,8 @@
   transport::awaitable<void> read_load(std::string endpoint,
                                        std::string address);
   transport::awaitable<void> read_platform_list();
+  /// Whether this node is among those that poll the endpoint, selected by
+  /// rendezvous hashing.
   bool is_prober_of(const std::string& endpoint) const;
 
   node_context& context_;
--- a/node/src/region_peers.cc
+++ b/node/src/region_peers.cc
@@ -48,7 +48,7 @@
     out.push_back(it->last.node.peer_address);
   }
   if (!out.empty()) return out;
-  // Nobody there is known to live: try those that the book names.
+  // No node there is known to be live: try those in the directory.
   for (const auto& [name, it] : context.book) {
     const bool room = out.size() < membership::relays_per_region;
     if (it.region == region && room) out.push_back(it.peer_address);
--- a/node/src/region_peers.h
+++ b/node/src/region_peers.h
@@ -1,5 +1,5 @@
-// Which peers a node has in its own region and in others, from the leader's
-// book and from what was heard.
+// The peers of a node in its own region and in others, from the leader's node
+// directory and from received heartbeats.
 #pragma once
 
 #include <chrono>
@@ -11,21 +11,22 @@
 
 namespace trestlepost::node {
 
-/// The other nodes of the own region by name, with their peers' addresses;
-/// those too that are not heard now.
+/// The peer addresses of the other nodes of the own region by name, including
+/// nodes that are not reachable now.
 std::map<std::string, std::string> region_mates(const node_context& context);
 
-/// Whether so many nodes belong to the region that heartbeats go to its
-/// relays only. Nodes count that are silent now: a region that loses some
-/// must not change its ways at that moment.
+/// Whether the region is so large that heartbeats go to its relays only.
+/// Unreachable nodes count, too: a region that loses nodes must not switch to
+/// another protocol at that moment.
 bool sends_by_relays(const node_context& context);
 
-/// Time between two heartbeats of a node of the own region.
+/// Time between two heartbeats of a node; grows with the size of the region.
 std::chrono::milliseconds heartbeat_interval(const node_context& context);
 
+/// The names of all known regions except the own one.
 std::vector<std::string> other_regions(const node_context& context);
 
-/// The peers' addresses of the relays of another region.
+/// The peer addresses of the relays of another region.
 std::vector<std::string> relay_addresses(const node_context& context,
                                          const std::string& region);
 
--- a/node/src/routed_gateway.h
+++ b/node/src/routed_gateway.h
@@ -1,5 +1,5 @@
-// The parts of a node that serve the platform's surface: the traffic plan's
-// routes, the listed endpoints, the operators' orders and the entry directory.
+// The services of a node that implement the platform's surface: routing by the
+// traffic plan, the endpoint list, operators' orders and the entry directory.
 #pragma once
 
 #include "control_service.h"
@@ -16,25 +16,26 @@
 
 namespace trestlepost::node {
 
+/// Builds and connects these services.
 class routed_gateway {
  public:
-  /// `control` may be null; `others` takes the forwarded requests that are
-  /// not routed ones.
+  /// `control` is null on a node that is not a control node. `others` handles
+  /// forwarded requests that were not routed by a traffic plan.
   routed_gateway(node_context& context, gateway::gateway_context& gateway,
                  gateway::crash_watch& crashes, control_service* control,
                  transport::http_handler& others);
 
   void start();
   void tick();
-  /// The configuration changed: brings the plan in force, with its limits at
+  /// Applies the plan of a changed configuration, with its request limits for
   /// `entry_server`.
   void take_plan(transport::http_server& entry_server);
-  /// Takes in what the region's other gateways have sent to its endpoints.
+  /// Updates the load that the region's other gateways have put on endpoints.
   void share_pending(const membership::endpoint_sums& others);
-  /// Adds what peers are told of the services and the endpoints here.
+  /// Adds the loads of services and endpoints to a heartbeat.
   void add_loads(membership::heartbeat& beat);
 
-  /// How many entries of the platform's list name no endpoint to use.
+  /// The number of unusable entries in the platform's list.
   std::size_t unreadable_entries() const { return listing_.unreadable(); }
 
   gateway::route_handler& entry() { return entry_; }
--- a/node/src/settings.cc
+++ b/node/src/settings.cc
@@ -17,7 +17,8 @@
 constexpr std::uint64_t largest_port = 65535;
 constexpr std::uint64_t most_tolerated = 10;
 constexpr double most_slack = 1e6;
-constexpr char settings_remedy[] = "mend the settings and start again";
+constexpr char settings_remedy[] =
+    "correct the settings and start the node again";
 
 std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
@@ -106,7 +107,7 @@
     reader.finish();
   }
 
-  /// Turns "IP:+N" into the Nth port after `first_port`.
+  /// Resolves "IP:+N" to the port `first_port` + N; other values are unchanged.
   std::string resolve_port(const std::string& value) const {
     const std::size_t plus = value.find(":+");
     if (plus == std::string::npos) return value;
@@ -185,14 +186,15 @@
     if (out_.control_nodes.empty() && !by_seeds) {
       problems_.add(outer.raw("control_nodes"), "control_nodes",
                     "no control node is named",
-                    "list the node and the peers' address of each (the first "
-                    "one founds), or give seeds");
+                    "list the name and the peer address of each (the first "
+                    "one founds the group), or set seeds");
     }
   }
 
   void read_seeds(object_reader& reader) {
     out_.seeds = reader.texts_or_empty("seeds");
-    // The seeds may be told by another interface of theirs.
+    // The seeds may be given by the address of another interface; `seeds_port`
+    // then replaces the port.
     const std::string port = reader.text_or("seeds_port", "");
     for (std::string& it : out_.seeds) {
       if (port.empty()) continue;
@@ -325,7 +327,7 @@
 result<settings> load_settings(const std::string& file) {
   if (!std::filesystem::exists(file)) {
     return fail(error_kind::bad_settings, "there is no file " + file,
-                "name the settings with --settings FILE");
+                "give the settings file with --settings FILE");
   }
   result<settings> out = parse_settings(read_file(file), file);
   if (!out) return out;
@@ -341,9 +343,9 @@
     std::error_code ec;
     std::filesystem::create_directories(value.data_folder, ec);
     if (ec || ::access(value.data_folder.c_str(), W_OK) != 0) {
-      problems.add(nowhere, "data_folder",
-                   value.data_folder + " is not writable",
-                   "create it and give it to the user of this process");
+      problems.add(
+          nowhere, "data_folder", value.data_folder + " is not writable",
+          "create it and make it writable for the user of this process");
     }
   }
   std::string secret = read_file(value.peer_secret);
@@ -353,7 +355,7 @@
   }
   if (secret.size() < shortest_secret) {
     problems.add(nowhere, "peer_secret_file",
-                 value.peer_secret + " holds no secret of 16 characters",
+                 value.peer_secret + " has no secret of at least 16 characters",
                  "write the same random text into this file on all nodes");
   }
   value.peer_secret = secret;
--- a/node/src/settings.h
+++ b/node/src/settings.h
@@ -1,5 +1,5 @@
-// The settings of one node: read from a JSON file with comments, checked whole
-// before anything starts.
+// The settings of one node, read from a JSON file with comments and validated
+// before any service starts.
 #pragma once
 
 #include <chrono>
@@ -17,9 +17,10 @@
 
 namespace trestlepost::node {
 
+/// A control node listed in the settings.
 struct control_node {
   std::string name;
-  std::string address;  // of its peers' port
+  std::string address;  // peer address
 };
 
 struct operator_account {
@@ -34,20 +35,20 @@
   std::chrono::milliseconds poll_interval{500};
   std::chrono::milliseconds load_poll_interval{250};
   std::chrono::milliseconds platform_poll_interval{1000};
-  /// By how much the platform's list lags behind its endpoints at most.
+  /// Maximum delay until a change of an endpoint shows in the platform's list.
   std::chrono::milliseconds platform_list_lag{1000};
-  /// After so long without a word from the other side's system an open
-  /// connection to a node or an endpoint counts as lost.
+  /// An open connection to a node or an endpoint counts as lost after this time
+  /// without a packet from the remote system, acknowledgements included.
   std::chrono::milliseconds connection_silence{transport::usual_silence};
   std::chrono::milliseconds drain_timeout{60'000};
-  /// How long a planned stop goes on taking requests: callers learn of it
-  /// only when they ask the directory again.
+  /// How long a node accepts new requests after a planned stop has begun.
+  /// Callers stop using it only after their next query of the directory.
   std::chrono::milliseconds drain_grace{0};
-  /// How long callers may use an answer of the entry directory.
+  /// How long callers may cache an answer of the entry directory.
   std::chrono::milliseconds directory_lifetime{5000};
 };
 
-/// How callers, operators and endpoints speak.
+/// The protocols used by callers, operators and endpoints.
 enum class surface_kind { own, platform };
 
 struct settings {
@@ -56,35 +57,37 @@
   std::string availability_zone;
   bool gateway = true;
   bool control = false;
-  std::string data_folder;  // empty: no disk
+  std::string data_folder;  // empty: the node stores nothing
   std::string charts_folder;
   std::string callers_address;
   std::string forwards_address;
   std::string operators_address;
   std::string peers_address;
-  /// What others are told, when it differs from where the node listens.
+  /// The addresses sent to other nodes and callers; those listened on unless
+  /// set.
   std::string advertised_callers;
   std::string advertised_forwards;
   std::string advertised_peers;
-  std::string outgoing_ip;  // empty: any
+  std::string outgoing_ip;  // source of connections; empty: any
   surface_kind surface = surface_kind::own;
-  // Interfaces of the platform's surface; empty: not served.
+  // Interfaces of the platform's surface; an empty address is not served.
   std::string readiness_address;
   std::string directory_address;
   std::string orders_address;
-  /// Found the configuration group at the first start, if this node is the
-  /// first seed.
+  /// Whether this node founds the configuration group at its first start. Only
+  /// the first seed does.
   bool found_at_first_start = false;
-  /// Control nodes whose loss at once must lose nothing.
+  /// How many control nodes may fail at the same time without loss of
+  /// acknowledged changes.
   std::size_t tolerated_losses = 0;
-  /// The region of each availability zone that endpoints may stand in.
+  /// The region of each availability zone that may have endpoints.
   std::map<std::string, std::string> zone_regions;
   routing::shared_retry_limits retries;
   std::vector<control_node> control_nodes;
   std::vector<std::string> seeds;
   std::string peer_secret;
   std::vector<operator_account> operators;
-  std::string platform_address;  // empty: none
+  std::string platform_address;  // empty: no platform
   log_level log_lowest = log_level::info;
   std::string log_file;
   std::size_t queue_capacity = 2000;
@@ -95,12 +98,15 @@
   routing::region_choice_options region_choice;
 };
 
-/// Reads and checks `text`; `file` is named in the mistakes.
+/// Parses and validates `text`. The error lists all validation errors; `file`
+/// is the file name shown in it.
 result<settings> parse_settings(const std::string& text,
                                 const std::string& file);
+/// Reads and validates a settings file and checks the local file system.
 result<settings> load_settings(const std::string& file);
 
-/// What has to hold on the machine: folders writable, secret readable.
+/// Checks that the data folder is writable, and replaces the path in
+/// `peer_secret` by the content of the file.
 result<void> check_machine(settings& value, const std::string& file);
 
 }  // namespace trestlepost::node
--- a/node/src/settings_watch.cc
+++ b/node/src/settings_watch.cc
@@ -24,7 +24,7 @@
   if (file_.empty() || (!at_once && now < next_look_)) return false;
   next_look_ = now + look_interval;
   std::string text = read();
-  // A file that is being replaced is read again at the next look.
+  // An empty file may be in the middle of being written; check again later.
   if (text.empty() || text == seen_) return false;
   seen_ = std::move(text);
   return true;
--- a/node/src/settings_watch.h
+++ b/node/src/settings_watch.h
@@ -1,4 +1,4 @@
-// Notices that the settings file was written, with or without a signal.
+// Detects changes of the settings file by its content.
 #pragma once
 
 #include <string>
@@ -7,15 +7,16 @@
 
 namespace trestlepost::node {
 
+/// Compares the settings file with the content read before.
 class settings_watch {
  public:
   explicit settings_watch(std::string file) : file_(std::move(file)) {}
 
   const std::string& file() const { return file_; }
 
-  /// Remembers the file as it stands.
+  /// Reads the current content as the base for later comparisons.
   void start();
-  /// Whether the file's content differs from what was seen last; looks at
+  /// Whether the content has changed since the last call. Reads the file at
   /// most once a second unless `at_once`.
   bool changed(monotonic_time now, bool at_once);
 
--- a/node/src/ticket_table.cc
+++ b/node/src/ticket_table.cc
@@ -24,7 +24,7 @@
   const auto it = entries_.find(id);
   if (it == entries_.end()) {
     return fail(error_kind::not_found, "the ticket " + id + " is not known",
-                "ask the node that gave it, within five minutes");
+                "use the node that issued it, within five minutes");
   }
   if (it->second.answer) return *it->second.answer;
   json waiting;
--- a/node/src/ticket_table.h
+++ b/node/src/ticket_table.h
@@ -1,5 +1,6 @@
-// Operators' calls that take time: answered with a ticket and asked for again,
-// because JSON-RPC handlers must not wait.
+// Tickets for operator calls that do not complete immediately. JSON-RPC
+// handlers must not block, so the client gets a ticket and polls for the
+// result.
 #pragma once
 
 #include <functional>
@@ -15,22 +16,24 @@
 
 using answer_function = std::function<void(result<json>)>;
 
-/// A method that answers later, once.
+/// A method that calls `answer` once, immediately or later.
 using slow_method =
     std::function<void(const json& params, const transport::rpc_context& caller,
                        const answer_function& answer)>;
 
+/// Stores the open calls and their results by ticket.
 class ticket_table {
  public:
-  /// Opens a ticket; the function closes it.
+  /// Adds a ticket and returns its id.
   std::string open(const std::string& id, monotonic_time now);
+  /// Stores the result of a call. The first result wins.
   void close(const std::string& id, result<json> answer);
 
-  /// The answer when there is one; an error for an unknown ticket; else
-  /// {"ticket": id}, to be asked for again.
+  /// The result of the call, {"ticket": id} when it has none yet, or an error
+  /// for an unknown ticket.
   result<json> read(const std::string& id) const;
 
-  /// Forgets tickets after a time.
+  /// Removes expired tickets.
   void tick(monotonic_time now);
 
  private:
--- a/node/src/unreadable_entries.cc
+++ b/node/src/unreadable_entries.cc
@@ -5,8 +5,8 @@
 namespace trestlepost::node {
 namespace {
 
-// Entries that are remembered as logged; where there are more, all are logged
-// anew, at the rate that holds for each kind of line.
+// Limit of the entries remembered as logged. When it is reached, all are
+// forgotten and logged again; the log's rate limit still applies.
 constexpr std::size_t most_remembered = 1000;
 
 }  // namespace
--- a/node/src/unreadable_entries.h
+++ b/node/src/unreadable_entries.h
@@ -1,5 +1,5 @@
-// Entries of the platform's list that name no endpoint to use: counted, and
-// logged once each.
+// Counts the unusable entries of the platform's endpoint list and logs each of
+// them once.
 #pragma once
 
 #include <set>
@@ -9,13 +9,14 @@
 
 namespace trestlepost::node {
 
+/// Tracks which unusable entries have been logged.
 class unreadable_entries {
  public:
-  /// Takes in those of one reading of the list. Each cause of each entry is
-  /// logged when it is first seen; returns how many were.
+  /// Records the unusable entries of one read of the list. Logs each pair of
+  /// entry and cause when it first occurs; returns how many were logged.
   std::size_t note(const std::vector<surface::unreadable_entry>& found);
 
-  /// How many the last reading had.
+  /// The number of unusable entries in the last read.
   std::size_t count() const { return count_; }
 
  private:
--- a/node/test/listing_news-test.cc
+++ b/node/test/listing_news-test.cc
@@ -90,7 +90,7 @@
   listing_writer writer("r", 7);
   writer.update({endpoint("a")}, revision, start);
   EXPECT_EQ(next(writer, "g", start).since, 0U);
-  // The second one sooner, by as much as differs between gateways.
+  // The second full list comes earlier, by a time that differs by gateway.
   monotonic_time second = start + milliseconds(1);
   while (next(writer, "g", second).since > 0) second += milliseconds(1);
   EXPECT_LE(second, start + interval);
@@ -100,8 +100,8 @@
   EXPECT_EQ(whole.endpoints.size(), 1U);
 }
 
-// Guards against a reader of the list that writes all whole lists of a region
-// at once, and stands still for seconds.
+// Guards against a reader that serializes the full lists for all gateways of a
+// region at once, which stalls it for seconds.
 TEST(listing_news_test, gateways_get_the_whole_list_at_different_times) {
   constexpr int gateways = 150;
   constexpr int most_at_once = gateways / 5;  // twice the even share
@@ -143,7 +143,7 @@
   writer.update({endpoint("a")}, 5, start);
   copy.take(read_back(next(writer, "g", start)), start);
   EXPECT_EQ(copy.covers(), 5U);
-  // Also when nothing else is new.
+  // The revision is sent even when no endpoint has changed.
   writer.update({endpoint("a")}, 6, start);
   copy.take(read_back(next(writer, "g", start)), start);
   EXPECT_EQ(copy.covers(), 6U);
@@ -212,8 +212,9 @@
   EXPECT_EQ(listing_patience(false, true, interval), 3 * interval);
 }
 
-// Seen on 107 gateways of a region: one list was late, and 104 of them read the
-// platform's list within the next second and told each other.
+// Guards against all gateways taking over from a late reader at once. In a
+// region with 107 gateways a late update made 104 of them read the platform's
+// list within a second and send it to each other.
 TEST(listing_patience_test, a_late_reader_is_replaced_by_one_of_a_hundred) {
   constexpr milliseconds interval{1000};
   constexpr milliseconds until_all_have_heard{250};
--- a/node/test/poll_schedule-test.cc
+++ b/node/test/poll_schedule-test.cc
@@ -25,17 +25,11 @@
   EXPECT_EQ(whom_to_ask(well, "b:1", all, finder), addresses({"b:1"}));
 }
 
-// Seen: of a deployment of 300 nodes that started for the first time, no first
-// plan was ever acknowledged.
-// How: all voters had joined and one of them led, but its lease lapsed again
-// and again, and each order was answered 503. Cause: before there is a plan,
-// each node asked all five control nodes every 150 ms, though the leader had
-// just confirmed that there is none: 10,000 polls a second, and most of them
-// once more to the leader. Proof: logs of the five control nodes, two runs side
-// by side. In the one in which gateways were held up by other work the plan was
-// taken 6 s after the start; in the other one the nodes' leases ran out 5 s
-// after the last voter had joined, no turn took 250 ms, and the leader never
-// changed.
+// Guards against an overloaded leader on the first start of 300 nodes. Each
+// node polled all five control nodes every 150 ms although the leader had just
+// confirmed that no plan exists. These 10,000 polls per second, most of them
+// forwarded to the leader, made its lease lapse again and again, and the first
+// plan was never acknowledged.
 TEST(poll_schedule_test,
      a_node_that_was_told_there_is_no_plan_asks_the_leader) {
   const milliseconds usual{500};
--- a/node/test/settings_page-test.cc
+++ b/node/test/settings_page-test.cc
@@ -1,4 +1,4 @@
-// docs/SETTINGS.md and the code name the same keys.
+// Checks that docs/SETTINGS.md and the code list the same settings keys.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -52,7 +52,8 @@
   for (const std::string& it : named) {
     const std::size_t dot = it.find('.');
     json document;
-    // A list is the wrong type for every key, and known keys say so.
+    // An array is the wrong type for every key, so a known key fails with a
+    // type error, an unknown one with "the key is unknown".
     document[it.substr(0, dot)][it.substr(dot + 1)] = json(Json::arrayValue);
     const result<settings> read = parse_settings(to_text(document), "page");
     ASSERT_FALSE(read);
