--- a/consensus/test/replica-test.cc
+++ b/consensus/test/replica-test.cc
@@ -281,7 +281,7 @@
     for (std::uint64_t seed = 0; seed < 1000; ++seed) {
       surviving_pair it(seed, milliseconds(latency_ms));
       ASSERT_LT(it.time_to_leader(), 3 * options.election_timeout)
-          << "seed " << seed << ", way " << latency_ms << " ms";
+          << "seed " << seed << ", latency " << latency_ms << " ms";
     }
   }
 }
--- a/membership/test/region_digest-test.cc
+++ b/membership/test/region_digest-test.cc
@@ -45,9 +45,9 @@
   explicit relay(const std::string& name, std::uint64_t incarnation = 7)
       : writer(info(name), incarnation) {}
 
-  region_digest make_digest(const digest_request& ask, monotonic_time now) {
+  region_digest make_digest(const digest_request& request, monotonic_time now) {
     writer.update(table, late_after, now);
-    return read_back(writer.make_digest(ask, std::nullopt));
+    return read_back(writer.make_digest(request, std::nullopt));
   }
 
   node_table table;
