--- a/charts/src/chart.cc
+++ b/charts/src/chart.cc
@@ -120,20 +120,20 @@
   }
 
   void check_reachable(const json& states) {
-    std::set<std::string> seen{out_.initial_};
-    std::vector<std::string> open{out_.initial_};
-    while (!open.empty()) {
-      const auto found = out_.states_.find(open.back());
-      open.pop_back();
+    std::set<std::string> reached{out_.initial_};
+    std::vector<std::string> pending{out_.initial_};
+    while (!pending.empty()) {
+      const auto found = out_.states_.find(pending.back());
+      pending.pop_back();
       if (found == out_.states_.end()) continue;
       for (const auto& [event, transitions] : found->second) {
         for (const chart::transition& it : transitions) {
-          if (seen.insert(it.target).second) open.push_back(it.target);
+          if (reached.insert(it.target).second) pending.push_back(it.target);
         }
       }
     }
     for (const auto& [name, unused] : out_.states_) {
-      if (seen.contains(name)) continue;
+      if (reached.contains(name)) continue;
       problems_.add(states[name], "states." + name,
                     "the state can't be reached",
                     "add a transition to it, or remove it");
--- a/charts/test/chart-test.cc
+++ b/charts/test/chart-test.cc
@@ -30,7 +30,7 @@
   const char* expected;
 };
 
-TEST(chart_test, refuses_charts_with_holes) {
+TEST(chart_test, refuses_incomplete_charts) {
   const bad_chart cases[] = {
       {R"({"initial":"off","states":{"off":{"ignore":["push","pull"]},
            "on":{"ignore":["push","pull"]}}})",
--- a/gateway/include/trestlepost/gateway/chosen_endpoint.h
+++ b/gateway/include/trestlepost/gateway/chosen_endpoint.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "trestlepost/routing/outlook.h"
+#include "trestlepost/routing/completion_estimate.h"
 
 namespace trestlepost::gateway {
 
@@ -13,7 +13,7 @@
   /// The name of the endpoint's current incarnation.
   std::string name;
   std::string address;
-  routing::outlook expected;
+  routing::completion_estimate expected;
   /// The address of an endpoint that has cached parts of the prompt missing
   /// here; empty if none is known.
   std::string copy_cache_from;
--- a/gateway/include/trestlepost/gateway/crash_watch.h
+++ b/gateway/include/trestlepost/gateway/crash_watch.h
@@ -12,7 +12,7 @@
 #include "trestlepost/config/hold_tracker.h"
 #include "trestlepost/gateway/attempt.h"
 #include "trestlepost/gateway/context.h"
-#include "trestlepost/routing/crash_blame.h"
+#include "trestlepost/routing/crash_attribution.h"
 
 namespace trestlepost::gateway {
 
@@ -80,7 +80,7 @@
   void forget_old();
 
   gateway_context& context_;
-  routing::crash_blame blame_;  // based on this gateway's own runs
+  routing::crash_attribution blame_;  // based on this gateway's own runs
   /// Fingerprints of runs that lost their connection, by endpoint, while the
   /// endpoint is being probed.
   std::map<std::string, std::set<std::string>> broken_at_;
--- a/gateway/include/trestlepost/gateway/endpoint_pool.h
+++ b/gateway/include/trestlepost/gateway/endpoint_pool.h
@@ -14,10 +14,10 @@
 #include "trestlepost/gateway/endpoint_lives.h"
 #include "trestlepost/gateway/remote_caches.h"
 #include "trestlepost/gateway/routed_request.h"
-#include "trestlepost/routing/acceptance.h"
+#include "trestlepost/routing/acceptance_estimator.h"
 #include "trestlepost/routing/cold_limiter.h"
 #include "trestlepost/routing/endpoint_warmth.h"
-#include "trestlepost/routing/engine_book.h"
+#include "trestlepost/routing/engine_table.h"
 #include "trestlepost/surface/endpoint_codec.h"
 #include "trestlepost/surface/endpoint_directory.h"
 
@@ -56,8 +56,8 @@
   /// Records a request sent to `endpoint`, which limits the rate if it is cold.
   void note_sent(const std::string& endpoint);
 
-  routing::engine_book& engines() { return engines_; }
-  const routing::engine_book& engines() const { return engines_; }
+  routing::engine_table& engines() { return engines_; }
+  const routing::engine_table& engines() const { return engines_; }
   const std::vector<surface::listed_endpoint>& listed() const {
     return listed_;
   }
@@ -111,11 +111,11 @@
   std::map<std::string, place> places_;           // by endpoint
   remote_caches remote_caches_;
   std::map<std::string, monotonic_time> observed_at_;
-  routing::engine_book engines_;
+  routing::engine_table engines_;
   routing::endpoint_warmth warmth_;
   routing::cold_limiter cold_;
-  routing::acceptance acceptance_;   // by endpoint
-  std::set<std::string> evacuated_;  // zones, at the last update
+  routing::acceptance_estimator acceptance_;  // by endpoint
+  std::set<std::string> evacuated_;           // zones, at the last update
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/engine_weighing.h
+++ b/gateway/include/trestlepost/gateway/engine_weighing.h
@@ -12,19 +12,19 @@
 #include "trestlepost/gateway/remote_caches.h"
 #include "trestlepost/gateway/routed_request.h"
 #include "trestlepost/membership/endpoint_tracker.h"
-#include "trestlepost/routing/engine_book.h"
+#include "trestlepost/routing/completion_estimate.h"
 #include "trestlepost/routing/engine_choice.h"
-#include "trestlepost/routing/outlook.h"
+#include "trestlepost/routing/engine_table.h"
 
 namespace trestlepost::gateway {
 
 /// Estimates the completion of `work` at `view` if the endpoint has to process
 /// `tokens` prompt tokens, including the wait for an engine slot.
-routing::outlook expected_at(const membership::endpoint_view& view,
-                             const routing::engine_work& work,
-                             std::uint32_t tokens,
-                             const config::engine_profile& engine,
-                             const routing::engine_book& engines);
+routing::completion_estimate expected_at(const membership::endpoint_view& view,
+                                         const routing::engine_work& work,
+                                         std::uint32_t tokens,
+                                         const config::engine_profile& engine,
+                                         const routing::engine_table& engines);
 
 /// An endpoint and the criteria it is compared by.
 struct weighed_endpoint {
@@ -39,7 +39,7 @@
   engine_weighing(const std::vector<membership::endpoint_view>& open,
                   const routed_request& request,
                   const config::engine_profile& engine,
-                  const routing::engine_book& engines,
+                  const routing::engine_table& engines,
                   const remote_caches& remote);
 
   /// Evaluates `view`, which must be one of the available endpoints.
@@ -52,7 +52,7 @@
 
   const routing::engine_work& work_;
   const config::engine_profile& engine_;
-  const routing::engine_book& engines_;
+  const routing::engine_table& engines_;
   const membership::endpoint_view* holder_ = nullptr;
   std::uint32_t holder_lacks_ = 0;
   /// The endpoint all gateways prefer for a section that no endpoint is known
--- a/gateway/include/trestlepost/gateway/route_forwarder.h
+++ b/gateway/include/trestlepost/gateway/route_forwarder.h
@@ -7,7 +7,7 @@
 #include "trestlepost/gateway/attempt.h"
 #include "trestlepost/gateway/context.h"
 #include "trestlepost/gateway/routed_request.h"
-#include "trestlepost/routing/acceptance.h"
+#include "trestlepost/routing/acceptance_estimator.h"
 #include "trestlepost/surface/surfaces.h"
 
 namespace trestlepost::gateway {
@@ -47,7 +47,7 @@
                        const attempt& outcome);
 
   std::map<std::string, std::uint32_t> unanswered_;  // by region
-  routing::acceptance acceptance_;                   // by region and service
+  routing::acceptance_estimator acceptance_;         // by region and service
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/routed_request.h
+++ b/gateway/include/trestlepost/gateway/routed_request.h
@@ -7,9 +7,9 @@
 
 #include "trestlepost/base/clock.h"
 #include "trestlepost/config/traffic_plan.h"
-#include "trestlepost/routing/engine_book.h"
-#include "trestlepost/routing/outlook.h"
-#include "trestlepost/routing/paid_sends.h"
+#include "trestlepost/routing/charged_sends.h"
+#include "trestlepost/routing/completion_estimate.h"
+#include "trestlepost/routing/engine_table.h"
 #include "trestlepost/surface/call_head.h"
 
 namespace trestlepost::gateway {
@@ -27,7 +27,7 @@
   monotonic_time deadline;
   /// Endpoints that the request was sent to or that refused it.
   std::set<std::string> avoid;
-  routing::paid_sends sends;
+  routing::charged_sends sends;
 
   /// Returns the request's fingerprint (see `request_fingerprint.h`), computed
   /// on first use.
@@ -43,8 +43,8 @@
 
 /// Returns the latency objective and the remaining time for an answer that
 /// starts at `now`.
-routing::expectation expectation_of(const routed_request& request,
-                                    monotonic_time now);
+routing::latency_requirements expectation_of(const routed_request& request,
+                                             monotonic_time now);
 
 /// Returns whether `route` permits `region` to serve, cache and store its
 /// requests.
--- a/gateway/src/admission.cc
+++ b/gateway/src/admission.cc
@@ -154,7 +154,7 @@
 void admission::pump(const std::string& service) {
   service_queue& queue = queue_of(service);
   const monotonic_time now = context_.clock.now();
-  for (const std::uint64_t id : queue.queue.take_expired(now)) {
+  for (const std::uint64_t id : queue.queue.remove_expired(now)) {
     end_wait(queue, id,
              failed_attempt(run_state::no,
                             {error_kind::deadline,
--- a/gateway/src/answer_passing.cc
+++ b/gateway/src/answer_passing.cc
@@ -14,7 +14,7 @@
   http_answer out;
   out.status = call.status();
   out.content_type.clear();
-  out.headers = codec.passed_back(call);
+  out.headers = codec.passthrough_headers(call);
   return out;
 }
 
--- a/gateway/src/crash_watch.cc
+++ b/gateway/src/crash_watch.cc
@@ -104,7 +104,7 @@
              {"endpoint", at.endpoint},
              {"service", at.service}});
   const routing::crash_report report{fingerprint, at.endpoint, at.service, now};
-  blame_.crashed(report, now);
+  blame_.record_crash(report, now);
   watch(watched_, fingerprint, now + watch_time);
   if (on_crash) on_crash(report);
 }
@@ -115,7 +115,7 @@
   watched_.erase(watched);
   suspects_.erase(fingerprint);
   held_here_.erase(fingerprint);
-  blame_.ended_well(fingerprint, context_.clock.now());
+  blame_.record_success(fingerprint, context_.clock.now());
   if (on_ended_well) on_ended_well(fingerprint);
 }
 
@@ -166,7 +166,7 @@
 void crash_watch::judge_own() {
   take_suspects(blame_.take_suspects());
   const monotonic_time now = context_.clock.now();
-  for (const routing::crash_verdict& it : blame_.take_verdicts(now)) {
+  for (const routing::hold_proposal& it : blame_.take_hold_proposals(now)) {
     hold_here(it.fingerprint);
   }
 }
--- a/gateway/src/delivery.cc
+++ b/gateway/src/delivery.cc
@@ -89,7 +89,7 @@
   out.outcome.ran = run_state::yes;
   out.answer.status = answer.status;
   out.answer.content_type = content_type;
-  out.answer.complete = buffered.size() <= ledger::largest_kept_answer;
+  out.answer.complete = buffered.size() <= ledger::max_stored_answer_bytes;
   if (out.answer.complete) out.answer.body = buffered;
   answer.body = std::move(buffered);
   co_await exchange.respond(std::move(answer));
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -51,10 +51,10 @@
     }
   }
   listed_ = std::move(own);
-  warmth_.list_covers(covers);
+  warmth_.set_list_revision(covers);
   for (const surface::listed_endpoint& it : listed_) {
-    warmth_.told(it.identity.name(), it.cold_left, routing::warmth_source::list,
-                 now);
+    warmth_.record_cold(it.identity.name(), it.cold_left,
+                        routing::warmth_source::list, now);
   }
   refresh();
 }
@@ -70,7 +70,8 @@
   // partitioned or stalled may receive the start and the end of an evacuation
   // at once.
   for (const auto& [zone, revision] : context_.store.given_back()) {
-    const bool news = warmth_.given_back(zone, revision, context_.clock.now());
+    const bool news =
+        warmth_.record_evacuation_end(zone, revision, context_.clock.now());
     if (!news) continue;
     log_event(log_level::info, "zone-evacuation-ended", {{"zone", zone}});
   }
@@ -80,7 +81,7 @@
   note_evacuations();
   const monotonic_time now = context_.clock.now();
   std::vector<membership::endpoint_tracker::declared_endpoint> declared;
-  std::vector<routing::engine_book::endpoint> engines;
+  std::vector<routing::engine_table::endpoint> engines;
   places_.clear();
   for (const surface::listed_endpoint& it : listed_) {
     const std::string name = it.identity.name();
@@ -93,10 +94,10 @@
     }
   }
   context_.endpoints.declare(declared, now);
-  engines_.declare(engines);
-  warmth_.keep([this](const std::string& it) { return places_.contains(it); },
-               now);
-  acceptance_.keep(
+  engines_.set_endpoints(engines);
+  warmth_.retain([this](const std::string& it) { return places_.contains(it); },
+                 now);
+  acceptance_.retain(
       [this](const std::string& it) { return places_.contains(it); });
   std::erase_if(observed_at_,
                 [this](const auto& it) { return !places_.contains(it.first); });
@@ -168,11 +169,12 @@
   for (const endpoint_view& it : open) {
     if (it.load >= it.limit * most_over_limit) continue;
     weighed_endpoint one = weighing.weigh(it);
-    one.candidate.chance = one.chosen.chance = acceptance_.chance(it.name, now);
+    one.candidate.accept_probability = one.chosen.chance =
+        acceptance_.accept_probability(it.name, now);
     chosen.push_back(std::move(one.chosen));
     candidates.push_back(one.candidate);
   }
-  const routing::expectation wanted = expectation_of(request, now);
+  const routing::latency_requirements wanted = expectation_of(request, now);
   const std::optional<std::size_t> best =
       routing::choose_engine(candidates, wanted);
   if (!best) return std::nullopt;
@@ -184,11 +186,11 @@
   const monotonic_time now = context_.clock.now();
   double best = 0;
   for (const endpoint_view& it : open) {
-    best = std::max(best, acceptance_.chance(it.name, now));
+    best = std::max(best, acceptance_.accept_probability(it.name, now));
   }
   std::vector<endpoint_view> out;
   for (const endpoint_view& it : open) {
-    const double chance = acceptance_.chance(it.name, now);
+    const double chance = acceptance_.accept_probability(it.name, now);
     if (chance >= least_share_of_best * best) out.push_back(it);
   }
   return out;
@@ -198,7 +200,7 @@
   chosen_endpoint out;
   out.name = view.name;
   out.address = view.address;
-  out.chance = acceptance_.chance(view.name, context_.clock.now());
+  out.chance = acceptance_.accept_probability(view.name, context_.clock.now());
   return out;
 }
 
@@ -285,8 +287,8 @@
                             const surface::endpoint_answer& answer) {
   const monotonic_time now = context_.clock.now();
   if (answer.cold_left) {
-    warmth_.told(endpoint, *answer.cold_left, routing::warmth_source::answer,
-                 now);
+    warmth_.record_cold(endpoint, *answer.cold_left,
+                        routing::warmth_source::answer, now);
   }
   monotonic_time& last = observed_at_[endpoint];
   if (!answer.load || now < last + report_interval) return;
@@ -296,11 +298,11 @@
 }
 
 void endpoint_pool::note_taken(const std::string& endpoint) {
-  acceptance_.taken(endpoint, context_.clock.now());
+  acceptance_.record_accepted(endpoint, context_.clock.now());
 }
 
 void endpoint_pool::note_rejected(const std::string& endpoint) {
-  acceptance_.rejected(endpoint, context_.clock.now());
+  acceptance_.record_rejected(endpoint, context_.clock.now());
 }
 
 void endpoint_pool::vanished(const std::string& endpoint) {
@@ -317,14 +319,14 @@
   const monotonic_time now = context_.clock.now();
   const config::planned_service* service = planned(found->second.service);
   if (!may_be_cold(endpoint, found->second.zone, service, now)) return;
-  cold_.sent(endpoint, now);
+  cold_.record_sent(endpoint, now);
   log_event(log_level::info, "cold-endpoint-used",
             {{"endpoint", endpoint},
              {"gateways", std::to_string(region_gateways())}});
 }
 
 void endpoint_pool::tick() {
-  cold_.forget(context_.clock.now() - cold_memory);
+  cold_.remove_before(context_.clock.now() - cold_memory);
 }
 
 }  // namespace trestlepost::gateway
--- a/gateway/src/endpoint_runner.cc
+++ b/gateway/src/endpoint_runner.cc
@@ -28,7 +28,7 @@
 using send_result = tl::expected<void, transport::call_failure>;
 
 milliseconds longest_silence(const routed_request& request,
-                             const routing::outlook& expected) {
+                             const routing::completion_estimate& expected) {
   return std::max(request.route->latency_objective,
                   silent_times * expected.first_token);
 }
@@ -57,7 +57,7 @@
   event_scanner& events;
   transport::http_exchange& exchange;
   std::shared_ptr<transport::http_call> call;
-  routing::engine_book::ticket ticket = 0;
+  routing::engine_table::ticket ticket = 0;
   monotonic_time started{};
   /// Deadline for the head of the answer.
   monotonic_time answer_by{};
@@ -78,8 +78,8 @@
   }
   context_.endpoints.request_started(endpoint.name);
   pool_.note_sent(endpoint.name);
-  now.ticket = pool_.engines().begin(endpoint.name, request.work,
-                                     endpoint.read_tokens, now.started);
+  now.ticket = pool_.engines().begin_request(endpoint.name, request.work,
+                                             endpoint.read_tokens, now.started);
   std::function<void()> on_gone = [call = now.call] { call->cancel(); };
   exchange.on_gone(std::move(on_gone));
   attempt out;
@@ -112,7 +112,7 @@
     context_.metrics.served_in(request.service, context_.self.region);
   }
   exchange.on_gone(nullptr);
-  pool_.engines().end(now.ticket, context_.clock.now());
+  pool_.engines().end_request(now.ticket, context_.clock.now());
   context_.endpoints.request_ended(endpoint.name);
   out.endpoint = endpoint.name;
   co_return out;
@@ -255,7 +255,7 @@
     out.endpoint_answer = std::move(answer);
     co_return out;
   }
-  pool_.engines().event(now.ticket, context_.clock.now());
+  pool_.engines().record_event(now.ticket, context_.clock.now());
   context_.metrics.first_piece(now.request.service,
                                context_.clock.now() - now.request.arrived);
   out.delivered = true;
@@ -274,14 +274,14 @@
     co_return broken_run(piece.error());
   }
   const monotonic_time at = context_.clock.now();
-  pool_.engines().event(now.ticket, at);
+  pool_.engines().record_event(now.ticket, at);
   context_.metrics.first_piece(now.request.service, at - now.request.arrived);
   attempt out;
   out.delivered = true;
   out.ran = run_state::yes;
   http_answer head = answer_head(*now.call, *surfaces_.endpoints);
   const std::function<void()> on_next = [this, &now] {
-    pool_.engines().event(now.ticket, context_.clock.now());
+    pool_.engines().record_event(now.ticket, context_.clock.now());
   };
   std::string first = std::move(*piece);
   const passed_stream passed = co_await pass_stream(
@@ -324,7 +324,7 @@
                         "check the endpoint " + now.endpoint.name};
       co_return events_broke(now, cause);
     }
-    if (!ended) pool_.engines().event(now.ticket, context_.clock.now());
+    if (!ended) pool_.engines().record_event(now.ticket, context_.clock.now());
     scanned_events found =
         ended ? now.events.finish() : now.events.push(std::move(*piece));
     const stream_fault fault = found.fault;
--- a/gateway/src/engine_weighing.cc
+++ b/gateway/src/engine_weighing.cc
@@ -41,20 +41,21 @@
 
 }  // namespace
 
-routing::outlook expected_at(const endpoint_view& view,
-                             const routing::engine_work& work,
-                             std::uint32_t tokens,
-                             const config::engine_profile& engine,
-                             const routing::engine_book& engines) {
-  return routing::delayed(engines.predict(view.name, work, tokens, view.load),
-                          routing::slot_wait(view.load, engine.batch_slots,
-                                             engines.mean_hold(view.service)));
+routing::completion_estimate expected_at(const endpoint_view& view,
+                                         const routing::engine_work& work,
+                                         std::uint32_t tokens,
+                                         const config::engine_profile& engine,
+                                         const routing::engine_table& engines) {
+  return routing::delayed(
+      engines.predict(view.name, work, tokens, view.load),
+      routing::slot_wait(view.load, engine.batch_slots,
+                         engines.mean_slot_time(view.service)));
 }
 
 engine_weighing::engine_weighing(const std::vector<endpoint_view>& open,
                                  const routed_request& request,
                                  const config::engine_profile& engine,
-                                 const routing::engine_book& engines,
+                                 const routing::engine_table& engines,
                                  const remote_caches& remote)
     : work_(request.work), engine_(engine), engines_(engines) {
   const routing::prompt_section* shared = shared_section(work_);
--- a/gateway/src/entry_handler.cc
+++ b/gateway/src/entry_handler.cc
@@ -49,7 +49,7 @@
   const std::optional<membership::entry_query> query =
       entries_.read_query(method, target);
   if (query) return answer_entries(exchange, *query);
-  if (entries_.asks_readiness(method, target)) {
+  if (entries_.is_readiness_query(method, target)) {
     return entries_.show_readiness(report(context_.state.serves_callers()));
   }
   if (entries_.asks_health(target)) {
@@ -143,7 +143,7 @@
         context_.store.find_service(target.service);
     if (!service) return {};
     const result<routing::placement> placed =
-        routing::place(inputs, caller, *service, labels);
+        routing::compute_placement(inputs, caller, *service, labels);
     if (!placed) return tl::make_unexpected(placed.error());
     return check_transit(*placed);
   }
@@ -210,8 +210,8 @@
   out.repeatable = options->repeatable.value_or(out.service->repeatable);
   out.idempotency_key = options->idempotency_key;
   out.priority = options->priority;
-  out.deadline =
-      context_.clock.now() + out.head.patience.value_or(out.service->timeout);
+  out.deadline = context_.clock.now() +
+                 out.head.caller_timeout.value_or(out.service->timeout);
   co_return out;
 }
 
@@ -248,18 +248,18 @@
                     (last.ran == run_state::unknown && request.repeatable);
   if (!safe || !worth_another_attempt(last.cause.kind)) return false;
   if (context_.clock.now() >= request.deadline) return false;
-  return retries_.take();
+  return retries_.try_take();
 }
 
 awaitable<attempt> entry_handler::run(const incoming_request& request,
                                       http_exchange& exchange) {
-  const result<routing::placement> placed =
-      routing::place(routing::inputs_of(context_.store), *request.caller,
-                     *request.service, request.labels);
+  const result<routing::placement> placed = routing::compute_placement(
+      routing::inputs_of(context_.store), *request.caller, *request.service,
+      request.labels);
   if (!placed) co_return failed_attempt(run_state::no, placed.error());
   const result<void> transit = check_transit(*placed);
   if (!transit) co_return failed_attempt(run_state::no, transit.error());
-  retries_.request_seen();
+  retries_.add_request();
   std::set<std::string> exhausted;
   std::set<std::string> avoid;
   attempt last = failed_attempt(
--- a/gateway/src/local_service.cc
+++ b/gateway/src/local_service.cc
@@ -92,9 +92,9 @@
 awaitable<attempt> local_service::serve(const incoming_request& request,
                                         std::set<std::string> avoid,
                                         http_exchange& exchange) {
-  const result<routing::placement> placed =
-      routing::place(routing::inputs_of(context_.store), *request.caller,
-                     *request.service, request.labels);
+  const result<routing::placement> placed = routing::compute_placement(
+      routing::inputs_of(context_.store), *request.caller, *request.service,
+      request.labels);
   if (!placed) co_return failed_attempt(run_state::no, placed.error());
   if (!placed->permits(context_.self.region)) {
     co_return failed_attempt(
@@ -139,13 +139,13 @@
 awaitable<std::optional<attempt>> local_service::fence_former(
     const incoming_request& request, const std::string& attempt_id,
     http_exchange& exchange) {
-  const std::vector<std::string> former = routing::former_homes(
+  const std::vector<std::string> former = routing::previous_homes(
       context_.store, *request.caller, *request.service, request.labels,
       context_.self.region, context_.clock.wall_now());
   if (former.empty()) co_return std::nullopt;
-  const result<routing::placement> placed =
-      routing::place(routing::inputs_of(context_.store), *request.caller,
-                     *request.service, request.labels);
+  const result<routing::placement> placed = routing::compute_placement(
+      routing::inputs_of(context_.store), *request.caller, *request.service,
+      request.labels);
   int n = 0;
   for (const std::string& region : former) {
     // The record must not be looked up in a region that may no longer receive
--- a/gateway/src/request.cc
+++ b/gateway/src/request.cc
@@ -5,9 +5,10 @@
 namespace trestlepost::gateway {
 
 std::string request_digest(const incoming_request& request) {
-  return sha256_hex(request.head.method + " " + request.head.target + "\n" +
-                    std::string(request.head.passed_header("Content-Type")) +
-                    "\n" + request.body);
+  return sha256_hex(
+      request.head.method + " " + request.head.target + "\n" +
+      std::string(request.head.passthrough_header("Content-Type")) + "\n" +
+      request.body);
 }
 
 }  // namespace trestlepost::gateway
--- a/gateway/src/route_forward_handler.cc
+++ b/gateway/src/route_forward_handler.cc
@@ -72,7 +72,7 @@
   out.arrived = context_.clock.now();
   out.deadline = out.arrived + message.remaining;
   out.avoid = std::move(message.avoid);
-  out.sends = routing::paid_sends(message.sends);
+  out.sends = routing::charged_sends(message.sends);
   return out;
 }
 
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -86,7 +86,7 @@
   out.service = routing::choose_service(*found, context_.random);
   out.arrived = arrived;
   const milliseconds patience =
-      std::min(head.patience.value_or(found->timeout), found->timeout);
+      std::min(head.caller_timeout.value_or(found->timeout), found->timeout);
   out.deadline = out.arrived + patience;
   out.head = std::move(head);
   out.body = std::move(body);
@@ -169,7 +169,7 @@
       last = co_await own_.serve(request, chosen->endpoint, exchange);
     } else {
       last = co_await remote_.serve(request, region, exchange);
-      request.sends.sent(last.sends);
+      request.sends.record_sent(last.sends);
       if (!last.endpoint.empty()) request.avoid.insert(last.endpoint);
     }
     if (last.delivered || exchange.answered() || exchange.gone()) {
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -58,7 +58,8 @@
 }
 
 double away_cost(const routing::engine_work& work) {
-  return hop_cost + cold_away * routing::read_again_cost * shared_share(work);
+  return hop_cost +
+         cold_away * routing::duplicate_prefill_cost * shared_share(work);
 }
 
 unsigned tokens_per_event(const routed_request& request) {
@@ -70,29 +71,27 @@
 
 /// Estimates the completion of `request` in `region`, assuming that the engines
 /// there process prompts as fast as those of the local region.
-routing::outlook outlook_away(const gateway_context& context,
-                              const remote_load& load,
-                              const std::string& region,
-                              std::uint32_t sent_tokens,
-                              const routed_request& request,
-                              const routing::engine_book& engines) {
+routing::completion_estimate outlook_away(
+    const gateway_context& context, const remote_load& load,
+    const std::string& region, std::uint32_t sent_tokens,
+    const routed_request& request, const routing::engine_table& engines) {
   const auto measured = context.round_trips.find(region);
   const milliseconds distance = measured == context.round_trips.end()
                                     ? unknown_round_trip
                                     : measured->second;
   const routing::engine_work& work = request.work;
   const milliseconds reading =
-      engines.reading_time(request.service, work.prompt_tokens);
+      engines.prefill_time(request.service, work.prompt_tokens);
   const unsigned events = work.output_tokens / tokens_per_event(request);
-  routing::outlook out;
+  routing::completion_estimate out;
   // The advertised load does not include the requests that this gateway has
   // sent there since.
   out.wait =
       load.wait + distance +
-      engines.reading_time(request.service, sent_tokens) / load.endpoints;
+      engines.prefill_time(request.service, sent_tokens) / load.endpoints;
   out.first_token = out.wait + reading;
   out.finish = out.first_token + events * load.event_interval;
-  out.slows_others = milliseconds(static_cast<std::int64_t>(
+  out.delay_to_others = milliseconds(static_cast<std::int64_t>(
       load.running * static_cast<double>(reading.count())));
   return out;
 }
@@ -110,20 +109,21 @@
 
 std::optional<valued_decision> weigh_own_region(
     const gateway_context& context, const endpoint_pool& own,
-    const routed_request& request, const routing::expectation& wanted) {
+    const routed_request& request,
+    const routing::latency_requirements& wanted) {
   const result<chosen_endpoint> chosen = own.choose(request);
   if (!chosen) return std::nullopt;
   return valued_decision{
       {context.self.region, *chosen},
-      routing::chance_value(routing::net_value(chosen->expected, wanted),
-                            chosen->chance)};
+      routing::discounted_value(routing::net_value(chosen->expected, wanted),
+                                chosen->chance)};
 }
 
 /// Returns the other region with the highest value.
 std::optional<valued_decision> weigh_other_regions(
     const gateway_context& context, const endpoint_pool& own,
     const route_forwarder& remote, const routed_request& request,
-    const routing::expectation& wanted,
+    const routing::latency_requirements& wanted,
     const std::set<std::string>& exhausted) {
   std::optional<valued_decision> best;
   const double cost = away_cost(request.work);
@@ -133,12 +133,12 @@
     const std::optional<remote_load> load =
         load_in(context, region, request.service);
     if (!load) continue;
-    const routing::outlook expected =
+    const routing::completion_estimate expected =
         outlook_away(context, *load, region, remote.unanswered_tokens(region),
                      request, own.engines());
     const double value =
-        routing::chance_value(routing::net_value(expected, wanted),
-                              remote.chance(region, request.service)) -
+        routing::discounted_value(routing::net_value(expected, wanted),
+                                  remote.chance(region, request.service)) -
         cost;
     if (best && value <= best->value) continue;
     best = valued_decision{{region, std::nullopt}, value};
@@ -160,7 +160,7 @@
     const route_forwarder& remote, const routed_request& request,
     const std::set<std::string>& exhausted) {
   const monotonic_time now = context.clock.now();
-  const routing::expectation wanted = expectation_of(request, now);
+  const routing::latency_requirements wanted = expectation_of(request, now);
   std::optional<valued_decision> home;
   if (may_serve(request, context.self.region, exhausted)) {
     home = weigh_own_region(context, own, request, wanted);
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -45,7 +45,8 @@
 /// Returns whether a request with the estimate `expected` would start too late.
 /// Only the wait before its own prompt is compared, so that long prompts are
 /// not refused earlier than short ones.
-bool too_late(const routed_request& request, const routing::outlook& expected,
+bool too_late(const routed_request& request,
+              const routing::completion_estimate& expected,
               monotonic_time now) {
   if (now + expected.wait >= request.deadline) return true;
   const bool stream = request.route->kind == config::route_kind::stream;
@@ -70,7 +71,7 @@
 /// Returns the refusal. `hold` is the mean duration of a request of the
 /// service.
 attempt puts_off_too_much(const chosen_endpoint& chosen, milliseconds hold) {
-  const milliseconds by = chosen.expected.slows_others;
+  const milliseconds by = chosen.expected.delay_to_others;
   return failed_attempt(
       run_state::no,
       {error_kind::overloaded,
@@ -83,7 +84,8 @@
 /// Returns whether the caller would abandon the stream before the endpoint
 /// starts.
 bool rest_too_late(const routed_request& request,
-                   const routing::outlook& expected, monotonic_time now) {
+                   const routing::completion_estimate& expected,
+                   monotonic_time now) {
   return now + expected.wait >= request.deadline ||
          expected.wait >= first_event_patience(*request.route);
 }
@@ -116,13 +118,13 @@
   const auto known = retries_.find(service);
   if (known != retries_.end()) return known->second;
   const routing::retry_budget fresh(
-      routing::share_of(retry_limits_, known_gateways()));
+      routing::gateway_share(retry_limits_, known_gateways()));
   return retries_.emplace(service, fresh).first->second;
 }
 
 void route_service::tick() {
   const routing::retry_budget_options share =
-      routing::share_of(retry_limits_, known_gateways());
+      routing::gateway_share(retry_limits_, known_gateways());
   for (auto& [service, it] : retries_) it.set_options(share);
 }
 
@@ -148,17 +150,17 @@
 }
 
 void route_service::request_seen(const std::string& service) {
-  retries_of(service).request_seen();
+  retries_of(service).add_request();
 }
 
 bool route_service::pay_for_send(routed_request& request) {
-  const bool paid = request.sends.cover_next(retries_of(request.service));
+  const bool paid = request.sends.charge_next(retries_of(request.service));
   if (!paid) context_.metrics.retry_denied(request.service);
   return paid;
 }
 
 void route_service::end_sends(routed_request& request) {
-  request.sends.end(retries_of(request.service));
+  request.sends.refund_unused(retries_of(request.service));
 }
 
 tl::expected<chosen_endpoint, attempt> route_service::choose(
@@ -174,10 +176,10 @@
   if (too_late(request, chosen.expected, now)) {
     return tl::make_unexpected(wait_too_long(chosen));
   }
-  const routing::expectation wanted = expectation_of(request, now);
+  const routing::latency_requirements wanted = expectation_of(request, now);
   if (routing::net_value(chosen.expected, wanted) < -most_net_loss) {
-    return tl::make_unexpected(
-        puts_off_too_much(chosen, pool_.engines().mean_hold(request.service)));
+    return tl::make_unexpected(puts_off_too_much(
+        chosen, pool_.engines().mean_slot_time(request.service)));
   }
   return chosen;
 }
@@ -220,7 +222,7 @@
     event_scanner events;
     last =
         co_await runner_.run(request, *chosen, may_give_up, events, exchange);
-    request.sends.sent(last->sends);
+    request.sends.record_sent(last->sends);
     if (last->stream_broken) {
       request.avoid.insert(chosen->name);
       attempt broken = std::move(*last);
@@ -303,7 +305,7 @@
         request.sends.count() + 1 < request.route->attempts;
     attempt next =
         co_await runner_.run(request, *chosen, may_give_up, events, exchange);
-    request.sends.sent(next.sends);
+    request.sends.record_sent(next.sends);
     request.avoid.insert(chosen->name);
     const std::string outcome = outcome_of(next, exchange.gone());
     note_resumption(request, last, next, last_event, outcome);
--- a/gateway/src/routed_request.cc
+++ b/gateway/src/routed_request.cc
@@ -8,8 +8,8 @@
 
 const std::string& routed_request::fingerprint(std::string_view secret) {
   if (fingerprint_.empty()) {
-    const request_identity own{head.passed_header("Authorization"), head.method,
-                               head.host, head.target, body};
+    const request_identity own{head.passthrough_header("Authorization"),
+                               head.method, head.host, head.target, body};
     fingerprint_ = fingerprint_of(own, secret);
   }
   return fingerprint_;
@@ -28,8 +28,8 @@
   return out;
 }
 
-routing::expectation expectation_of(const routed_request& request,
-                                    monotonic_time now) {
+routing::latency_requirements expectation_of(const routed_request& request,
+                                             monotonic_time now) {
   return {request.route->latency_objective,
           std::chrono::duration_cast<std::chrono::milliseconds>(
               request.deadline - now)};
--- a/gateway/test/request-test.cc
+++ b/gateway/test/request-test.cc
@@ -15,7 +15,7 @@
   sent.head.request_id = "r";
   sent.head.method = "POST";
   sent.head.target = "/p";
-  sent.head.passed_on = {{"Content-Type", "text/plain"}};
+  sent.head.passthrough_headers = {{"Content-Type", "text/plain"}};
   sent.caller = "c";
   sent.service = "s";
   sent.labels["k"] = "v";
@@ -27,7 +27,7 @@
   EXPECT_EQ(received->head.request_id, "r");
   EXPECT_EQ(received->head.method, "POST");
   EXPECT_EQ(received->head.target, "/p");
-  EXPECT_EQ(received->head.passed_on, sent.head.passed_on);
+  EXPECT_EQ(received->head.passthrough_headers, sent.head.passthrough_headers);
   EXPECT_EQ(received->labels, sent.labels);
   EXPECT_EQ(received->avoid, sent.avoid);
   EXPECT_EQ(received->revision, 7U);
@@ -71,7 +71,7 @@
   b.body = "2";
   EXPECT_NE(request_digest(a), request_digest(b));
   b = a;
-  b.head.passed_on = {{"Content-Type", "text/plain"}};
+  b.head.passthrough_headers = {{"Content-Type", "text/plain"}};
   EXPECT_NE(request_digest(a), request_digest(b));
 }
 
--- a/ledger/include/trestlepost/ledger/claim_table.h
+++ b/ledger/include/trestlepost/ledger/claim_table.h
@@ -25,20 +25,20 @@
       std::chrono::milliseconds resend_after = std::chrono::milliseconds(300))
       : proposer_(proposer), resend_after_(resend_after) {}
 
-  using decided_function = std::function<void(const claim_decision&)>;
+  using decision_handler = std::function<void(const claim_decision&)>;
 
   /// Proposes the command until it is decided. `decided` is called once, unless
   /// the attempt is abandoned before.
-  void claim(const claim_command& asked, monotonic_time now,
-             decided_function decided);
-  void fence(const fence_command& asked, monotonic_time now,
-             decided_function decided);
+  void claim(const claim_command& command, monotonic_time now,
+             decision_handler decided);
+  void fence(const fence_command& command, monotonic_time now,
+             decision_handler decided);
 
   /// Abandons a claim. If it is granted later, it is released as not run.
   void abandon(const std::string& attempt);
 
   /// Proposes an outcome until it is recorded.
-  void finish(const finish_command& told, monotonic_time now);
+  void finish(const finish_command& report, monotonic_time now);
 
   /// Called by the state machine of this node's replica.
   void on_decided(const claim_decision& decided, const std::string& key,
@@ -55,7 +55,7 @@
  private:
   struct pending_claim {
     json command;
-    decided_function decided;
+    decision_handler decided;
     monotonic_time sent_at;
   };
   struct pending_outcome {
@@ -64,7 +64,7 @@
   };
 
   void add(const std::string& attempt, json command, monotonic_time now,
-           decided_function decided);
+           decision_handler decided);
 
   command_proposer& proposer_;
   std::chrono::milliseconds resend_after_;
--- a/ledger/include/trestlepost/ledger/record.h
+++ b/ledger/include/trestlepost/ledger/record.h
@@ -11,7 +11,7 @@
 namespace trestlepost::ledger {
 
 /// Size limit of answers stored for replay, in bytes.
-inline constexpr std::size_t largest_kept_answer = 64UL * 1024;
+inline constexpr std::size_t max_stored_answer_bytes = 64UL * 1024;
 
 /// Time for which the record of an expired key is kept as a tombstone, so that
 /// a request with this key is refused instead of run again.
--- a/ledger/include/trestlepost/ledger/state_machine.h
+++ b/ledger/include/trestlepost/ledger/state_machine.h
@@ -39,12 +39,12 @@
   std::function<void(const std::string& attempt)> on_finished;
 
  private:
-  claim_decision claim(const claim_command& asked);
-  claim_decision judge_existing(const claim_command& asked, record& found);
-  claim_decision fence(const fence_command& asked);
-  void finish(const finish_command& told);
+  claim_decision claim(const claim_command& command);
+  claim_decision decide_existing(const claim_command& command, record& found);
+  claim_decision fence(const fence_command& command);
+  void finish(const finish_command& command);
   void expire(wall_time now);
-  void keep_until(const std::string& key, record& it, wall_time until);
+  void set_expiry(const std::string& key, record& it, wall_time until);
   void erase(const std::string& key);
 
   ledger_limits limits_;
--- a/ledger/src/claim_table.cc
+++ b/ledger/src/claim_table.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 void claim_table::add(const std::string& attempt, json command,
-                      monotonic_time now, decided_function decided) {
+                      monotonic_time now, decision_handler decided) {
   pending_claim& added = claims_[attempt];
   added.command = std::move(command);
   added.decided = std::move(decided);
@@ -25,23 +25,23 @@
   proposer_.propose(sent);
 }
 
-void claim_table::claim(const claim_command& asked, monotonic_time now,
-                        decided_function decided) {
-  add(asked.attempt, to_json(asked), now, std::move(decided));
+void claim_table::claim(const claim_command& command, monotonic_time now,
+                        decision_handler decided) {
+  add(command.attempt, to_json(command), now, std::move(decided));
 }
 
-void claim_table::fence(const fence_command& asked, monotonic_time now,
-                        decided_function decided) {
-  add(asked.attempt, to_json(asked), now, std::move(decided));
+void claim_table::fence(const fence_command& command, monotonic_time now,
+                        decision_handler decided) {
+  add(command.attempt, to_json(command), now, std::move(decided));
 }
 
 void claim_table::abandon(const std::string& attempt) {
   claims_.erase(attempt);
 }
 
-void claim_table::finish(const finish_command& told, monotonic_time now) {
-  json command = to_json(told);
-  outcomes_[told.attempt] = {command, now};
+void claim_table::finish(const finish_command& report, monotonic_time now) {
+  json command = to_json(report);
+  outcomes_[report.attempt] = {command, now};
   proposer_.propose(command);
 }
 
@@ -49,7 +49,7 @@
                              const std::string& key, monotonic_time now) {
   const auto it = claims_.find(decided.attempt);
   if (it != claims_.end()) {
-    const decided_function call = std::move(it->second.decided);
+    const decision_handler call = std::move(it->second.decided);
     claims_.erase(it);
     if (decided.verdict == claim_verdict::granted) {
       granted_[decided.attempt] = now;
@@ -57,12 +57,12 @@
     call(decided);
     return;
   }
-  const bool given_up = decided.verdict == claim_verdict::granted &&
-                        !own_prefix_.empty() &&
-                        decided.attempt.starts_with(own_prefix_) &&
-                        !granted_.contains(decided.attempt) &&
-                        !outcomes_.contains(decided.attempt);
-  if (given_up) {
+  const bool abandoned = decided.verdict == claim_verdict::granted &&
+                         !own_prefix_.empty() &&
+                         decided.attempt.starts_with(own_prefix_) &&
+                         !granted_.contains(decided.attempt) &&
+                         !outcomes_.contains(decided.attempt);
+  if (abandoned) {
     finish({key, decided.attempt, run_outcome::not_run, {}}, now);
   }
 }
--- a/ledger/src/state_machine.cc
+++ b/ledger/src/state_machine.cc
@@ -16,7 +16,7 @@
   return out;
 }
 
-std::chrono::milliseconds positive(wall_time::duration n) {
+std::chrono::milliseconds at_least_one_ms(wall_time::duration n) {
   return std::max(std::chrono::milliseconds(1),
                   std::chrono::duration_cast<std::chrono::milliseconds>(n));
 }
@@ -43,7 +43,7 @@
   if (on_decided) on_decided(decided, key);
 }
 
-void ledger_state_machine::keep_until(const std::string& key, record& it,
+void ledger_state_machine::set_expiry(const std::string& key, record& it,
                                       wall_time until) {
   by_expiry_.erase({it.kept_until, key});
   it.kept_until = until;
@@ -68,100 +68,101 @@
     const wall_time until = it.kept_until + tombstone_lifetime;
     it.state = record_state::expired;
     it.answer = stored_answer();
-    keep_until(key, it, until);
+    set_expiry(key, it, until);
   }
 }
 
-claim_decision ledger_state_machine::claim(const claim_command& asked) {
-  expire(asked.at);
-  const auto found = records_.find(asked.key);
-  if (found != records_.end()) return judge_existing(asked, found->second);
+claim_decision ledger_state_machine::claim(const claim_command& command) {
+  expire(command.at);
+  const auto found = records_.find(command.key);
+  if (found != records_.end()) return decide_existing(command, found->second);
   if (records_.size() >= limits_.records) {
-    claim_decision out = decision(asked.attempt, claim_verdict::in_progress);
+    claim_decision out = decision(command.attempt, claim_verdict::in_progress);
     out.retry_after = std::chrono::minutes(1);
     return out;
   }
-  record& added = records_[asked.key];
-  added.digest = asked.digest;
-  added.attempt = asked.attempt;
-  added.claimed_at = asked.at;
-  added.deadline = asked.deadline;
-  keep_until(asked.key, added, asked.at + asked.window);
-  return decision(asked.attempt, claim_verdict::granted);
+  record& added = records_[command.key];
+  added.digest = command.digest;
+  added.attempt = command.attempt;
+  added.claimed_at = command.at;
+  added.deadline = command.deadline;
+  set_expiry(command.key, added, command.at + command.window);
+  return decision(command.attempt, claim_verdict::granted);
 }
 
-claim_decision ledger_state_machine::judge_existing(const claim_command& asked,
-                                                    record& found) {
+claim_decision ledger_state_machine::decide_existing(
+    const claim_command& command, record& found) {
   if (found.state == record_state::expired) {
-    return decision(asked.attempt, claim_verdict::expired);
+    return decision(command.attempt, claim_verdict::expired);
   }
   if (found.state == record_state::moved) {
-    return decision(asked.attempt, claim_verdict::moved);
+    return decision(command.attempt, claim_verdict::moved);
   }
-  if (found.digest != asked.digest && !limits_.skip_digest_check) {
-    return decision(asked.attempt, claim_verdict::mismatch);
+  if (found.digest != command.digest && !limits_.skip_digest_check) {
+    return decision(command.attempt, claim_verdict::mismatch);
   }
   // The same command may be in the log twice.
-  if (found.state == record_state::claimed && found.attempt == asked.attempt) {
-    return decision(asked.attempt, claim_verdict::granted);
+  if (found.state == record_state::claimed &&
+      found.attempt == command.attempt) {
+    return decision(command.attempt, claim_verdict::granted);
   }
-  if (found.state == record_state::claimed && asked.at > found.deadline) {
+  if (found.state == record_state::claimed && command.at > found.deadline) {
     found.state = record_state::unknown;
   }
   if (found.state == record_state::claimed) {
-    claim_decision out = decision(asked.attempt, claim_verdict::in_progress);
-    out.retry_after = positive(found.deadline - asked.at);
+    claim_decision out = decision(command.attempt, claim_verdict::in_progress);
+    out.retry_after = at_least_one_ms(found.deadline - command.at);
     return out;
   }
   if (found.state == record_state::unknown) {
     if (limits_.grant_after_unknown) {
-      return decision(asked.attempt, claim_verdict::granted);
+      return decision(command.attempt, claim_verdict::granted);
     }
-    return decision(asked.attempt, claim_verdict::unknown);
+    return decision(command.attempt, claim_verdict::unknown);
   }
-  claim_decision out = decision(asked.attempt, claim_verdict::replay);
+  claim_decision out = decision(command.attempt, claim_verdict::replay);
   out.answer = found.answer;
   return out;
 }
 
-claim_decision ledger_state_machine::fence(const fence_command& asked) {
-  expire(asked.at);
-  const auto found = records_.find(asked.key);
+claim_decision ledger_state_machine::fence(const fence_command& command) {
+  expire(command.at);
+  const auto found = records_.find(command.key);
   if (found != records_.end() && found->second.state != record_state::moved) {
     claim_command as_claim;
-    as_claim.key = asked.key;
-    as_claim.digest = asked.digest;
-    as_claim.attempt = asked.attempt;
-    as_claim.at = asked.at;
-    return judge_existing(as_claim, found->second);
+    as_claim.key = command.key;
+    as_claim.digest = command.digest;
+    as_claim.attempt = command.attempt;
+    as_claim.at = command.at;
+    return decide_existing(as_claim, found->second);
   }
-  record& fenced = records_[asked.key];
+  record& fenced = records_[command.key];
   fenced.state = record_state::moved;
-  keep_until(asked.key, fenced, asked.at + asked.window);
-  return decision(asked.attempt, claim_verdict::moved);
+  set_expiry(command.key, fenced, command.at + command.window);
+  return decision(command.attempt, claim_verdict::moved);
 }
 
-void ledger_state_machine::finish(const finish_command& told) {
-  const auto it = records_.find(told.key);
-  const bool held = it != records_.end() &&
-                    it->second.attempt == told.attempt &&
-                    (it->second.state == record_state::claimed ||
-                     it->second.state == record_state::unknown);
-  if (held) {
-    switch (told.outcome) {
+void ledger_state_machine::finish(const finish_command& command) {
+  const auto it = records_.find(command.key);
+  const bool owns_claim = it != records_.end() &&
+                          it->second.attempt == command.attempt &&
+                          (it->second.state == record_state::claimed ||
+                           it->second.state == record_state::unknown);
+  if (owns_claim) {
+    switch (command.outcome) {
       case run_outcome::done:
         it->second.state = record_state::done;
-        it->second.answer = told.answer;
+        it->second.answer = command.answer;
         break;
       case run_outcome::not_run:
-        erase(told.key);
+        erase(command.key);
         break;
       case run_outcome::unknown:
         it->second.state = record_state::unknown;
         break;
     }
   }
-  if (on_finished) on_finished(told.attempt);
+  if (on_finished) on_finished(command.attempt);
 }
 
 std::string ledger_state_machine::save() const {
--- a/ledger/test/ledger-test.cc
+++ b/ledger/test/ledger-test.cc
@@ -18,9 +18,9 @@
 const wall_time start = from_unix_ms(1'700'000'000'000);
 
 /// Applies commands in order and keeps the last decision.
-class driver {
+class ledger_harness {
  public:
-  explicit driver(ledger_limits limits = {}) : machine(limits) {
+  explicit ledger_harness(ledger_limits limits = {}) : machine(limits) {
     machine.on_decided = [this](const claim_decision& it, const std::string&) {
       last = it;
     };
@@ -50,7 +50,7 @@
 };
 
 TEST(ledger_test, a_key_is_granted_once) {
-  driver it;
+  ledger_harness it;
   EXPECT_EQ(it.claim("a1"), claim_verdict::granted);
   EXPECT_EQ(it.claim("a2"), claim_verdict::in_progress);
   EXPECT_GT(it.last.retry_after, milliseconds(0));
@@ -60,40 +60,40 @@
 }
 
 TEST(ledger_test, another_body_under_the_same_key_is_a_mismatch) {
-  driver it;
+  ledger_harness it;
   it.claim("a1");
   EXPECT_EQ(it.claim("a2", start, "other"), claim_verdict::mismatch);
-  ledger_limits broken;
-  broken.skip_digest_check = true;
-  driver without(broken);
-  without.claim("a1");
-  EXPECT_NE(without.claim("a2", start, "other"), claim_verdict::mismatch);
+  ledger_limits disabled;
+  disabled.skip_digest_check = true;
+  ledger_harness unchecked(disabled);
+  unchecked.claim("a1");
+  EXPECT_NE(unchecked.claim("a2", start, "other"), claim_verdict::mismatch);
 }
 
-TEST(ledger_test, a_claimer_that_died_leaves_unknown_for_good) {
-  driver it;
+TEST(ledger_test, a_claim_without_outcome_stays_unknown) {
+  ledger_harness it;
   it.claim("a1");
   const wall_time later = start + milliseconds(5001);
   EXPECT_EQ(it.claim("a2", later), claim_verdict::unknown);
   EXPECT_EQ(it.claim("a3", later + hours(1)), claim_verdict::unknown);
-  ledger_limits broken;
-  broken.grant_after_unknown = true;
-  driver without(broken);
-  without.claim("a1");
-  EXPECT_EQ(without.claim("a2", later), claim_verdict::granted)
-      << "without the mechanism the request runs twice";
+  ledger_limits disabled;
+  disabled.grant_after_unknown = true;
+  ledger_harness unchecked(disabled);
+  unchecked.claim("a1");
+  EXPECT_EQ(unchecked.claim("a2", later), claim_verdict::granted)
+      << "with grant_after_unknown the request runs twice";
 }
 
-TEST(ledger_test, a_late_outcome_of_the_claimer_still_counts) {
-  driver it;
+TEST(ledger_test, a_late_outcome_is_recorded) {
+  ledger_harness it;
   it.claim("a1");
   it.claim("a2", start + milliseconds(5001));
   it.finish("a1", run_outcome::done);
   EXPECT_EQ(it.claim("a3", start + milliseconds(6000)), claim_verdict::replay);
 }
 
-TEST(ledger_test, what_was_not_run_frees_the_key) {
-  driver it;
+TEST(ledger_test, a_request_that_was_not_run_frees_the_key) {
+  ledger_harness it;
   it.claim("a1");
   it.finish("a1", run_outcome::not_run);
   EXPECT_EQ(it.claim("a2"), claim_verdict::granted);
@@ -101,16 +101,16 @@
   EXPECT_EQ(it.claim("a3"), claim_verdict::in_progress);
 }
 
-TEST(ledger_test, an_expired_key_is_refused_and_not_run_afresh) {
-  driver it;
+TEST(ledger_test, an_expired_key_is_refused) {
+  ledger_harness it;
   it.claim("a1");
   it.finish("a1", run_outcome::done);
   EXPECT_EQ(it.claim("a2", start + hours(25)), claim_verdict::expired);
   EXPECT_EQ(it.claim("a3", start + hours(24 * 6)), claim_verdict::expired);
 }
 
-TEST(ledger_test, a_fence_closes_a_key_or_tells_what_is_known) {
-  driver it;
+TEST(ledger_test, a_fence_closes_a_key_or_returns_its_state) {
+  ledger_harness it;
   it.apply(to_json(fence_command{"k", "d", "f1", start, window}));
   EXPECT_EQ(it.last.verdict, claim_verdict::moved);
   EXPECT_EQ(it.claim("a1"), claim_verdict::moved);
@@ -122,11 +122,11 @@
 }
 
 TEST(ledger_test, a_snapshot_restores_every_record) {
-  driver it;
+  ledger_harness it;
   it.claim("a1");
   it.finish("a1", run_outcome::done);
   it.claim("b1", start, "d", "other");
-  driver restored;
+  ledger_harness restored;
   restored.machine.load(it.machine.save());
   EXPECT_EQ(restored.machine.save(), it.machine.save());
   EXPECT_EQ(restored.claim("a2"), claim_verdict::replay);
@@ -177,20 +177,20 @@
       const std::string key = "k" + std::to_string(proposer.random.below(3));
       const std::string attempt =
           "p" + std::to_string(which) + "-" + std::to_string(step);
-      const std::uint64_t fate = proposer.random.below(4);
+      const std::uint64_t course = proposer.random.below(4);
       table.claim(
           {key, "d", attempt, wall, wall + milliseconds(2000), window}, now,
-          [&, key, attempt, fate](const claim_decision& it) {
+          [&, key, attempt, course](const claim_decision& it) {
             if (it.verdict != claim_verdict::granted) return;
-            if (fate == 0) {  // refused before the first byte
+            if (course == 0) {  // refused before the first byte
               table.finish({key, attempt, run_outcome::not_run, {}}, now);
               return;
             }
             ++runs[key];
-            if (fate == 1) return;  // crashed without an outcome
+            if (course == 1) return;  // crashed without an outcome
             table.finish({key, attempt, run_outcome::done, {}}, now);
           });
-      if (fate == 3) table.abandon(attempt);
+      if (course == 3) table.abandon(attempt);
     }
     first.tick(now);
     second.tick(now);
--- a/node/src/crash_judge.cc
+++ b/node/src/crash_judge.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t most_condemned = 1000;
 constexpr char operator_name[] = "trestlepost";
 
-std::string evidence_of(const routing::crash_verdict& it) {
+std::string evidence_of(const routing::hold_proposal& it) {
   std::string out = "crashed while they ran it:";
   for (const std::string& endpoint : it.endpoints) out += " " + endpoint;
   return out;
@@ -33,10 +33,10 @@
     report.at = now - milliseconds(number_of(it, "age_ms"));
     if (report.fingerprint.empty()) continue;
     if (report.endpoint.empty()) {
-      blame_.ended_well(report.fingerprint, report.at);
+      blame_.record_success(report.fingerprint, report.at);
       condemned_.erase(report.fingerprint);
     } else {
-      blame_.crashed(report, now);
+      blame_.record_crash(report, now);
     }
   }
 }
@@ -69,7 +69,7 @@
 std::vector<std::string> crash_judge::judge() {
   std::vector<std::string> out;
   const monotonic_time now = context_.clock.now();
-  for (routing::crash_verdict& it : blame_.take_verdicts(now)) {
+  for (routing::hold_proposal& it : blame_.take_hold_proposals(now)) {
     if (store_.held_requests().contains(it.fingerprint)) continue;
     log_event(log_level::warn, "request-hold-proposed",
               {{"fingerprint", it.fingerprint},
--- a/node/src/crash_judge.h
+++ b/node/src/crash_judge.h
@@ -11,7 +11,7 @@
 #include "trestlepost/config/change.h"
 #include "trestlepost/config/hold_tracker.h"
 #include "trestlepost/config/store.h"
-#include "trestlepost/routing/crash_blame.h"
+#include "trestlepost/routing/crash_attribution.h"
 
 namespace trestlepost::node {
 
@@ -34,7 +34,7 @@
 
  private:
   struct condemned {
-    routing::crash_verdict verdict;
+    routing::hold_proposal verdict;
     monotonic_time next_proposal{};
   };
 
@@ -50,7 +50,7 @@
   node_context& context_;
   const config::object_store& store_;
   propose_function propose_;
-  routing::crash_blame blame_;
+  routing::crash_attribution blame_;
   /// By fingerprint; not in force yet on this node.
   std::map<std::string, condemned> condemned_;
   config::hold_tracker holds_;
--- a/node/src/crash_reporter.h
+++ b/node/src/crash_reporter.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "node_context.h"
-#include "trestlepost/routing/crash_blame.h"
+#include "trestlepost/routing/crash_attribution.h"
 
 namespace trestlepost::node {
 
--- a/node/src/entry_handlers.cc
+++ b/node/src/entry_handlers.cc
@@ -83,7 +83,7 @@
 awaitable<void> readiness_handler::handle(transport::http_exchange& exchange) {
   const result<std::string> body = co_await exchange.read_body();
   const bool asked =
-      surface_->asks_readiness(exchange.method(), exchange.target());
+      surface_->is_readiness_query(exchange.method(), exchange.target());
   http_answer out;
   if (asked && body) {
     const surface::node_report report{
--- a/node/src/ledger_service.cc
+++ b/node/src/ledger_service.cc
@@ -157,7 +157,7 @@
     ledger::claim_command asked, monotonic_time deadline) {
   const std::string attempt = asked.attempt;
   begin_function begin =
-      [this, &asked](ledger::claim_table::decided_function decided) {
+      [this, &asked](ledger::claim_table::decision_handler decided) {
         claims_.claim(asked, context_.clock.now(), std::move(decided));
       };
   std::function<void()> give_up = [this, &attempt] {
@@ -169,7 +169,7 @@
 awaitable<result<claim_decision>> ledger_service::fence(
     std::string region, ledger::fence_command asked, monotonic_time deadline) {
   const std::string attempt = asked.attempt;
-  begin_function begin = [&](ledger::claim_table::decided_function decided) {
+  begin_function begin = [&](ledger::claim_table::decision_handler decided) {
     remote_fence it;
     it.region = region;
     it.params["command"] = ledger::to_json(asked);
@@ -214,7 +214,7 @@
   const claim_decision decided = ledger::claim_decision_from(params);
   const auto it = remote_fences_.find(decided.attempt);
   if (it == remote_fences_.end()) return;
-  const ledger::claim_table::decided_function call =
+  const ledger::claim_table::decision_handler call =
       std::move(it->second.decided);
   remote_fences_.erase(it);
   call(decided);
--- a/node/src/ledger_service.h
+++ b/node/src/ledger_service.h
@@ -49,14 +49,14 @@
 
  private:
   using begin_function =
-      std::function<void(ledger::claim_table::decided_function)>;
+      std::function<void(ledger::claim_table::decision_handler)>;
 
   /// A fence sent to another region, until its decision is received.
   struct remote_fence {
     std::string region;
     json params;
     monotonic_time sent_at;
-    ledger::claim_table::decided_function decided;
+    ledger::claim_table::decision_handler decided;
   };
 
   void register_peer_methods();
--- a/node/src/operator_service.cc
+++ b/node/src/operator_service.cc
@@ -443,7 +443,7 @@
   const result<config::label_map> labels =
       own::parse_labels(text_of(params, "labels"));
   if (!labels) return tl::make_unexpected(labels.error());
-  const result<routing::placement> placed = routing::place(
+  const result<routing::placement> placed = routing::compute_placement(
       routing::inputs_of(context_.store), *caller, *service, *labels);
   json out;
   out["caller"] = caller->name;
--- a/node/src/routed_gateway.cc
+++ b/node/src/routed_gateway.cc
@@ -61,9 +61,9 @@
 }
 
 void routed_gateway::share_pending(const membership::endpoint_sums& others) {
-  pool_.engines().set_others(others.pending);
+  pool_.engines().set_peer_pending(others.pending);
   for (const membership::cached_prefix& it : others.cached_prefixes) {
-    pool_.engines().note_prefix(it);
+    pool_.engines().add_cached_prefix(it);
   }
 }
 
--- a/own/include/trestlepost/own/codecs.h
+++ b/own/include/trestlepost/own/codecs.h
@@ -36,7 +36,7 @@
       const surface::endpoint_attempt& in) const override;
   surface::endpoint_answer read_head(
       const transport::http_call& call) const override;
-  transport::header_list passed_back(
+  transport::header_list passthrough_headers(
       const transport::http_call& call) const override;
 
  private:
@@ -62,8 +62,8 @@
   transport::http_answer show_entries(
       const std::vector<membership::entry_view>& entries,
       std::chrono::milliseconds lifetime) const override;
-  bool asks_readiness(std::string_view method,
-                      std::string_view target) const override;
+  bool is_readiness_query(std::string_view method,
+                          std::string_view target) const override;
   /// Whether the call asks only if the process answers.
   bool asks_health(std::string_view target) const;
   transport::http_answer show_readiness(
--- a/own/src/caller_codec.cc
+++ b/own/src/caller_codec.cc
@@ -69,11 +69,11 @@
       return bad_header(headers::deadline,
                         "write milliseconds from 1 to 3600000");
     }
-    out.patience = milliseconds(*n);
+    out.caller_timeout = milliseconds(*n);
   }
   for (const char* name : passed_on) {
     const std::string_view text = exchange.header(name);
-    if (!text.empty()) out.passed_on.emplace_back(name, text);
+    if (!text.empty()) out.passthrough_headers.emplace_back(name, text);
   }
   return out;
 }
--- a/own/src/endpoint_codec.cc
+++ b/own/src/endpoint_codec.cc
@@ -17,8 +17,8 @@
   out.headers = {{headers::request_id, in.head.request_id},
                  {headers::attempt, in.attempt_id},
                  {headers::priority, std::to_string(in.priority)}};
-  out.headers.insert(out.headers.end(), in.head.passed_on.begin(),
-                     in.head.passed_on.end());
+  out.headers.insert(out.headers.end(), in.head.passthrough_headers.begin(),
+                     in.head.passthrough_headers.end());
   out.body = in.body;
   return out;
 }
@@ -32,7 +32,7 @@
   return out;
 }
 
-transport::header_list endpoint_codec::passed_back(
+transport::header_list endpoint_codec::passthrough_headers(
     const transport::http_call& call) const {
   const std::string_view type = call.header(headers::content_type);
   if (type.empty()) return {};
--- a/own/src/entry_codec.cc
+++ b/own/src/entry_codec.cc
@@ -73,8 +73,8 @@
   return out;
 }
 
-bool entry_codec::asks_readiness(std::string_view,
-                                 std::string_view target) const {
+bool entry_codec::is_readiness_query(std::string_view,
+                                     std::string_view target) const {
   return path_of(target) == readiness_path;
 }
 
--- a/own/test/caller_codec-test.cc
+++ b/own/test/caller_codec-test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(head->host, "");
   EXPECT_EQ(head->method, "POST");
   EXPECT_EQ(head->target, "/v1/services/s/x?q=1");
-  EXPECT_EQ(head->patience, milliseconds(1500));
+  EXPECT_EQ(head->caller_timeout, milliseconds(1500));
   EXPECT_FALSE(head->prompt.known());
 }
 
@@ -46,7 +46,7 @@
   ASSERT_TRUE(head);
   const transport::header_list expected{{"Content-Type", "text/plain"},
                                         {"Idempotency-Key", "k"}};
-  EXPECT_EQ(head->passed_on, expected);
+  EXPECT_EQ(head->passthrough_headers, expected);
 }
 
 TEST(caller_codec_test, a_bare_request_has_a_head) {
@@ -54,8 +54,8 @@
       caller_codec().read_head(fake_exchange());
   ASSERT_TRUE(head);
   EXPECT_EQ(head->request_id, "");
-  EXPECT_FALSE(head->patience);
-  EXPECT_TRUE(head->passed_on.empty());
+  EXPECT_FALSE(head->caller_timeout);
+  EXPECT_TRUE(head->passthrough_headers.empty());
 }
 
 TEST(caller_codec_test, an_unsound_id_counts_as_none) {
--- a/own/test/endpoint_codec-test.cc
+++ b/own/test/endpoint_codec-test.cc
@@ -16,7 +16,8 @@
   head.request_id = "r-1";
   head.method = "PUT";
   head.target = "/x/1?q";
-  head.passed_on = {{"Content-Type", "text/plain"}, {"Idempotency-Key", "k"}};
+  head.passthrough_headers = {{"Content-Type", "text/plain"},
+                              {"Idempotency-Key", "k"}};
   const std::string body = "body";
   const transport::http_request out =
       endpoint_codec(false).encode({.head = head,
@@ -91,8 +92,8 @@
               {"Trestlepost-Region", "forged"},
               {"Connection", "close"}};
   const transport::header_list expected{{"Content-Type", "text/event-stream"}};
-  EXPECT_EQ(endpoint_codec(false).passed_back(call), expected);
-  EXPECT_TRUE(endpoint_codec(false).passed_back(fake_call()).empty());
+  EXPECT_EQ(endpoint_codec(false).passthrough_headers(call), expected);
+  EXPECT_TRUE(endpoint_codec(false).passthrough_headers(fake_call()).empty());
 }
 
 }  // namespace
--- a/own/test/entry_codec-test.cc
+++ b/own/test/entry_codec-test.cc
@@ -82,16 +82,16 @@
 
 TEST(entry_codec_test, readiness_and_health_are_told_apart) {
   const entry_codec codec;
-  EXPECT_TRUE(codec.asks_readiness("GET", "/readyz"));
-  EXPECT_TRUE(codec.asks_readiness("GET", "/readyz?x"));
+  EXPECT_TRUE(codec.is_readiness_query("GET", "/readyz"));
+  EXPECT_TRUE(codec.is_readiness_query("GET", "/readyz?x"));
   EXPECT_TRUE(codec.asks_health("/healthz"));
   for (const char* it :
        {"", "/", "/ready", "/readyz/", "/health", "/x/readyz", "/healthzz"}) {
-    EXPECT_FALSE(codec.asks_readiness("GET", it)) << it;
+    EXPECT_FALSE(codec.is_readiness_query("GET", it)) << it;
     EXPECT_FALSE(codec.asks_health(it)) << it;
   }
   EXPECT_FALSE(codec.asks_health("/readyz"));
-  EXPECT_FALSE(codec.asks_readiness("GET", "/healthz"));
+  EXPECT_FALSE(codec.is_readiness_query("GET", "/healthz"));
 }
 
 TEST(entry_codec_test, a_node_tells_its_state) {
--- a/routing/include/trestlepost/routing/acceptance.h
+++ b/routing/include/trestlepost/routing/acceptance_estimator.h
@@ -14,29 +14,29 @@
 /// Such endpoints look idle, so a choice by load alone would prefer them.
 /// Outcomes decay within seconds and places without recent outcomes are
 /// trusted, so a recovered endpoint gets requests again without a probe.
-class acceptance {
+class acceptance_estimator {
  public:
   /// Records that `place` accepted a request, or rejected it without running
   /// it.
-  void taken(const std::string& place, monotonic_time now);
-  void rejected(const std::string& place, monotonic_time now);
+  void record_accepted(const std::string& place, monotonic_time now);
+  void record_rejected(const std::string& place, monotonic_time now);
 
   /// Returns the probability that `place` accepts the next request, in (0, 1].
-  double chance(const std::string& place, monotonic_time now) const;
+  double accept_probability(const std::string& place, monotonic_time now) const;
 
   /// Removes all places for which `known` returns false.
-  void keep(const std::function<bool(const std::string&)>& known);
+  void retain(const std::function<bool(const std::string&)>& known);
 
  private:
   /// Exponentially decayed counts as of `at`.
   struct outcomes {
-    double taken = 0;
+    double accepted = 0;
     double rejected = 0;
     monotonic_time at{};
   };
 
-  static outcomes faded(const outcomes& from, monotonic_time now);
-  outcomes& at(const std::string& place, monotonic_time now);
+  static outcomes decayed(const outcomes& from, monotonic_time now);
+  outcomes& outcomes_at(const std::string& place, monotonic_time now);
 
   std::map<std::string, outcomes> places_;
 };
--- a/routing/include/trestlepost/routing/cold_limiter.h
+++ b/routing/include/trestlepost/routing/cold_limiter.h
@@ -27,15 +27,15 @@
 
   /// Returns whether a request may be sent to cold `endpoint`, which accepts
   /// `per_second` requests from all gateways together (0: no limit). Records
-  /// nothing; call `sent` once the request was sent.
+  /// nothing; call `record_sent` once the request was sent.
   bool may_send(const std::string& endpoint, double per_second,
                 monotonic_time now) const;
 
   /// Records that a request was sent to `endpoint`.
-  void sent(const std::string& endpoint, monotonic_time now);
+  void record_sent(const std::string& endpoint, monotonic_time now);
 
   /// Removes endpoints whose last request was sent before `before`.
-  void forget(monotonic_time before);
+  void remove_before(monotonic_time before);
 
  private:
   cold_limit_options options_;
--- a/routing/include/trestlepost/routing/endpoint_warmth.h
+++ b/routing/include/trestlepost/routing/endpoint_warmth.h
@@ -20,19 +20,20 @@
  public:
   /// Records that `source` reports `endpoint` as cold for another `left`. Does
   /// nothing if `left` is not positive (the endpoint is warm).
-  void told(const std::string& endpoint, std::chrono::milliseconds left,
-            warmth_source source, monotonic_time now);
+  void record_cold(const std::string& endpoint, std::chrono::milliseconds left,
+                   warmth_source source, monotonic_time now);
 
   /// Records that configuration change `revision` ended the evacuation of
   /// `zone`. Its endpoints may have gone cold during the evacuation, and the
   /// change arrives before a list that reports them as cold. Returns false if
   /// this change was recorded before.
-  bool given_back(const std::string& zone, config::revision_number revision,
-                  monotonic_time now);
+  bool record_evacuation_end(const std::string& zone,
+                             config::revision_number revision,
+                             monotonic_time now);
 
   /// Records that a list arrived which reflects the configuration up to
   /// `revision`.
-  void list_covers(config::revision_number revision);
+  void set_list_revision(config::revision_number revision);
 
   /// Returns whether `endpoint` is cold or may be cold. It may be cold if the
   /// evacuation of its zone ended less than `warmup` ago and no list has
@@ -43,11 +44,11 @@
 
   /// Removes endpoints that are warm at `now` or for which `exists` returns
   /// false.
-  void keep(const std::function<bool(const std::string&)>& exists,
-            monotonic_time now);
+  void retain(const std::function<bool(const std::string&)>& exists,
+              monotonic_time now);
 
  private:
-  struct zone_return {
+  struct evacuation_end {
     config::revision_number revision = 0;
     monotonic_time at;
   };
@@ -55,8 +56,8 @@
   bool is_cold(const std::string& endpoint, monotonic_time now) const;
 
   std::map<std::string, monotonic_time> cold_until_;
-  std::map<std::string, zone_return> returns_;  // by zone
-  config::revision_number covered_ = 0;
+  std::map<std::string, evacuation_end> evacuation_ends_;  // by zone
+  config::revision_number list_revision_ = 0;
 };
 
 }  // namespace trestlepost::routing
--- a/routing/include/trestlepost/routing/engine_book.h
+++ b/routing/include/trestlepost/routing/engine_table.h
@@ -14,8 +14,8 @@
 
 #include "trestlepost/base/clock.h"
 #include "trestlepost/membership/cached_prefix.h"
+#include "trestlepost/routing/completion_estimate.h"
 #include "trestlepost/routing/latency_model.h"
-#include "trestlepost/routing/outlook.h"
 
 namespace trestlepost::routing {
 
@@ -46,7 +46,7 @@
 using pending_tokens = std::vector<std::uint32_t>;
 
 /// State of all model endpoints of this region. Callers pass the current time.
-class engine_book {
+class engine_table {
  public:
   struct endpoint {
     std::string id;
@@ -55,11 +55,11 @@
     unsigned tokens_per_event = 1;
   };
 
-  /// Identifies a request between `begin` and `end`.
+  /// Identifies a request between `begin_request` and `end_request`.
   using ticket = std::uint64_t;
 
   /// Replaces the set of endpoints. The state of endpoints that stay is kept.
-  void declare(const std::vector<endpoint>& endpoints);
+  void set_endpoints(const std::vector<endpoint>& endpoints);
 
   /// Returns the tokens of the prompt that `id` has not cached, as far as this
   /// gateway knows.
@@ -69,27 +69,27 @@
   /// Predicts the course of a request sent to `id` now, if the endpoint
   /// prefills `tokens` for it and decodes `running` other responses at the same
   /// time.
-  outlook predict(const std::string& id, const engine_work& work,
-                  std::uint32_t tokens, double running = 0) const;
+  completion_estimate predict(const std::string& id, const engine_work& work,
+                              std::uint32_t tokens, double running = 0) const;
 
   /// Records that a request was sent to `id`, which prefills `tokens` for it.
-  ticket begin(const std::string& id, const engine_work& work,
-               std::uint32_t tokens, monotonic_time now);
+  ticket begin_request(const std::string& id, const engine_work& work,
+                       std::uint32_t tokens, monotonic_time now);
   /// Records an event of the response stream and updates the observed speeds.
-  void event(ticket request, monotonic_time now);
+  void record_event(ticket request, monotonic_time now);
   /// Records that the request ended, successfully or not.
-  void end(ticket request, monotonic_time now);
+  void end_request(ticket request, monotonic_time now);
 
   /// Returns the time an engine of `service` needs to prefill `tokens`, by the
   /// observed speed.
-  std::chrono::milliseconds reading_time(const std::string& service,
+  std::chrono::milliseconds prefill_time(const std::string& service,
                                          std::uint32_t tokens) const;
 
   /// Returns the mean time that a request of `service` occupies a slot.
-  std::chrono::milliseconds mean_hold(const std::string& service) const;
+  std::chrono::milliseconds mean_slot_time(const std::string& service) const;
 
   /// Sets the pending prompt tokens of the region's other gateways.
-  void set_others(std::map<std::string, pending_tokens> by_endpoint);
+  void set_peer_pending(std::map<std::string, pending_tokens> by_endpoint);
   /// Returns this gateway's pending prompt tokens, for the other gateways.
   std::map<std::string, pending_tokens> own_pending() const;
 
@@ -97,7 +97,7 @@
   /// first time, for the other gateways of the region.
   std::vector<cached_prefix> recent_prefixes(monotonic_time now) const;
   /// Records a cached prefix reported by another gateway.
-  void note_prefix(const cached_prefix& told);
+  void add_cached_prefix(const cached_prefix& reported);
 
   /// Returns the mean time between two response events at `id`.
   std::chrono::milliseconds event_interval(const std::string& id) const;
@@ -112,13 +112,13 @@
     pending_tokens own;
     pending_tokens others;
     /// Prefill time relative to the mean of its service; above 1 is slower.
-    double slowness = 1;
+    double slowdown = 1;
     double event_ms = 0;  // 0: not observed
     std::unordered_map<std::uint64_t, cached_section> cached;
     std::list<std::uint64_t> recent;  // most recently used first
     std::uint64_t cached_tokens = 0;
   };
-  struct begun {
+  struct active_request {
     std::string endpoint;
     std::uint32_t tokens = 0;  // to prefill for this request
     std::uint32_t ahead = 0;   // to prefill before this request
@@ -131,7 +131,7 @@
   /// Observations of all endpoints of a service together.
   struct service_record {
     latency_model latency;
-    double hold_ms = 0;  // 0: not observed
+    double slot_time_ms = 0;  // 0: not observed
   };
 
   struct announcement {
@@ -141,19 +141,19 @@
 
   const record* find(const std::string& id) const;
   const latency_model& model_of(const record& it) const;
-  void first_event(begun& it, record* at, monotonic_time now);
+  void first_event(active_request& it, record* at, monotonic_time now);
   /// Adds `sections` to the cache model and returns the tokens that were not
   /// cached before.
-  std::uint32_t note_cached(record& it,
-                            const std::vector<prompt_section>& sections);
+  std::uint32_t add_cached(record& it,
+                           const std::vector<prompt_section>& sections);
   void announce(cached_prefix prefix, monotonic_time now);
   void evict(record& it);
-  void forget_pending(const begun& it);
-  void observe_hold(const begun& it, monotonic_time now);
+  void remove_pending(const active_request& it);
+  void observe_slot_time(const active_request& it, monotonic_time now);
 
   std::map<std::string, record> endpoints_;
   std::map<std::string, service_record> services_;
-  std::map<ticket, begun> requests_;
+  std::map<ticket, active_request> requests_;
   std::deque<announcement> announced_;  // newest last
   ticket next_ticket_ = 1;
 };
--- a/routing/include/trestlepost/routing/fair_queue.h
+++ b/routing/include/trestlepost/routing/fair_queue.h
@@ -15,7 +15,7 @@
 namespace trestlepost::routing {
 
 /// A queued request.
-struct waiter {
+struct queued_request {
   std::uint64_t id = 0;
   std::string caller;
   unsigned share = 1;
@@ -30,40 +30,41 @@
   /// Adds a request. If the queue is full, removes and returns the last request
   /// of the caller with the most requests relative to its share; this may be
   /// the new one.
-  std::optional<std::uint64_t> push(const waiter& added);
+  std::optional<std::uint64_t> push(const queued_request& added);
 
   /// Removes and returns the next request to run, or nothing if the queue is
   /// empty.
   std::optional<std::uint64_t> pop();
 
   /// Removes and returns the requests whose deadline has passed.
-  std::vector<std::uint64_t> take_expired(monotonic_time now);
+  std::vector<std::uint64_t> remove_expired(monotonic_time now);
 
   /// Removes a request, for example when its caller disconnected.
   void remove(std::uint64_t id);
 
   std::size_t size() const { return by_id_.size(); }
-  std::size_t waiting_of(const std::string& caller) const;
+  std::size_t queued_count(const std::string& caller) const;
 
  private:
-  struct order {
+  struct queue_position {
     int priority = 0;
     monotonic_time deadline;
     std::uint64_t id = 0;
-    bool operator<(const order& other) const;
+    bool operator<(const queue_position& other) const;
   };
   struct caller_queue {
-    std::set<order> waiting;
+    std::set<queue_position> waiting;
     unsigned share = 1;
     double virtual_time = 0;  // served requests divided by share
   };
   struct location {
     std::string caller;
-    order position;
+    queue_position position;
   };
 
-  std::string most_over_share() const;
-  std::uint64_t take(const std::string& caller, const order& position);
+  std::string heaviest_caller() const;
+  std::uint64_t remove_at(const std::string& caller,
+                          const queue_position& position);
 
   std::size_t capacity_;
   std::map<std::string, caller_queue> callers_;
--- a/routing/include/trestlepost/routing/latency_model.h
+++ b/routing/include/trestlepost/routing/latency_model.h
@@ -26,11 +26,11 @@
   void fit();
 
   latency_prior prior_;
-  double n_ = 0;
-  double x_ = 0;
-  double y_ = 0;
-  double xx_ = 0;
-  double xy_ = 0;
+  double weight_ = 0;
+  double sum_x_ = 0;
+  double sum_y_ = 0;
+  double sum_xx_ = 0;
+  double sum_xy_ = 0;
   double base_ = 0;
   double slope_ = 0;
 };
--- a/routing/include/trestlepost/routing/placement.h
+++ b/routing/include/trestlepost/routing/placement.h
@@ -38,10 +38,10 @@
 /// Computes the placement of a request. Fails if no rule matches, if the
 /// matching rules have no region in common, or if a label is not allowed for
 /// the caller or would permit more regions. The request must then not be run.
-result<placement> place(const placement_inputs& inputs,
-                        const config::caller& caller,
-                        const config::service& service,
-                        const config::label_map& request_labels);
+result<placement> compute_placement(const placement_inputs& inputs,
+                                    const config::caller& caller,
+                                    const config::service& service,
+                                    const config::label_map& request_labels);
 
 /// Returns whether some rule that could match refuses transit through `region`.
 /// Used before the body is read, when the service is not known yet.
@@ -52,11 +52,11 @@
 
 /// Returns the regions, other than the present home, that were the home of the
 /// request within the longest key window.
-std::vector<std::string> former_homes(const config::object_store& store,
-                                      const config::caller& caller,
-                                      const config::service& service,
-                                      const config::label_map& request_labels,
-                                      const std::string& present_home,
-                                      wall_time now);
+std::vector<std::string> previous_homes(const config::object_store& store,
+                                        const config::caller& caller,
+                                        const config::service& service,
+                                        const config::label_map& request_labels,
+                                        const std::string& present_home,
+                                        wall_time now);
 
 }  // namespace trestlepost::routing
--- a/routing/include/trestlepost/routing/region_choice.h
+++ b/routing/include/trestlepost/routing/region_choice.h
@@ -31,7 +31,7 @@
 struct region_request {
   std::string own_region;
   /// False: only the own region may serve it (isolated node).
-  bool may_cross = true;
+  bool may_leave_region = true;
   /// True: only the home region may serve it, since its ledger holds the
   /// record.
   bool bound_to_home = false;
--- a/routing/include/trestlepost/routing/retry_budget.h
+++ b/routing/include/trestlepost/routing/retry_budget.h
@@ -15,9 +15,9 @@
 
 struct retry_budget_options {
   /// Retries allowed per request.
-  double share = 0.1;
+  double ratio = 0.1;
   /// Maximum number of unused retries that are saved.
-  double most_saved = 10;
+  double max_saved = 10;
 };
 
 /// Returns the limits of one of `gateways` gateways, which do not coordinate.
@@ -26,16 +26,16 @@
 /// are known. The rest allows for requests that are read slightly later than
 /// they were sent. One third of the slack is used, because each of three
 /// partitioned regions may count only its own gateways.
-inline retry_budget_options share_of(const shared_retry_limits& limits,
-                                     std::size_t gateways) {
+inline retry_budget_options gateway_share(const shared_retry_limits& limits,
+                                          std::size_t gateways) {
   constexpr double used_of_ratio = 0.9;
   constexpr double used_of_slack = 1.0 / 3;
   const double part = limits.slack * used_of_slack /
                       static_cast<double>(std::max<std::size_t>(1, gateways));
   retry_budget_options out;
-  out.share = limits.ratio * used_of_ratio;
+  out.ratio = limits.ratio * used_of_ratio;
   // Below 1 a gateway could never retry.
-  out.most_saved = std::max(1.0, part);
+  out.max_saved = std::max(1.0, part);
   return out;
 }
 
@@ -50,23 +50,23 @@
   /// Sets new limits. Saved retries above the new maximum are dropped.
   void set_options(retry_budget_options options) {
     options_ = options;
-    saved_ = std::min(saved_, options_.most_saved);
+    saved_ = std::min(saved_, options_.max_saved);
   }
 
-  void request_seen() { save(options_.share); }
+  void add_request() { save(options_.ratio); }
 
   /// Takes one retry from the budget; returns false if none is left.
-  bool take() {
+  bool try_take() {
     if (saved_ < 1) return false;
     saved_ -= 1;
     return true;
   }
 
   /// Returns a retry that was taken but not used.
-  void give_back() { save(1); }
+  void refund() { save(1); }
 
  private:
-  void save(double n) { saved_ = std::min(options_.most_saved, saved_ + n); }
+  void save(double n) { saved_ = std::min(options_.max_saved, saved_ + n); }
 
   retry_budget_options options_;
   double saved_ = 0;
--- a/routing/src/cold_limiter.cc
+++ b/routing/src/cold_limiter.cc
@@ -14,11 +14,12 @@
   return passed.count() * own_rate >= 1;
 }
 
-void cold_limiter::sent(const std::string& endpoint, monotonic_time now) {
+void cold_limiter::record_sent(const std::string& endpoint,
+                               monotonic_time now) {
   last_sent_[endpoint] = now;
 }
 
-void cold_limiter::forget(monotonic_time before) {
+void cold_limiter::remove_before(monotonic_time before) {
   std::erase_if(last_sent_,
                 [before](const auto& it) { return it.second < before; });
 }
--- a/routing/src/outlook.cc
+++ b/routing/src/completion_estimate.cc
@@ -1,5 +1,5 @@
 // Value of a request by its estimated course.
-#include "trestlepost/routing/outlook.h"
+#include "trestlepost/routing/completion_estimate.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -10,20 +10,20 @@
 // Predictions are inexact, so a limit is not a sharp threshold. The probability
 // of meeting it falls linearly from 1 to 0 between these ratios of predicted
 // time to limit.
-constexpr double surely_on_time = 0.7;
-constexpr double surely_late = 1.2;
-constexpr double surely_whole = 0.7;
-constexpr double surely_cut = 1.3;
+constexpr double on_time_ratio = 0.7;
+constexpr double late_ratio = 1.2;
+constexpr double complete_ratio = 0.7;
+constexpr double cut_off_ratio = 1.3;
 // Value of a late response, as a share of the value of one on time.
-constexpr double late_value = 0.3;
+constexpr double late_response_value = 0.3;
 
 // Cost of each second until the response is complete, as a share of its value:
 // some streams break or miss their deadline, and an engine that decodes many
 // responses prefills the next prompts later.
-constexpr double cost_per_second = 0.04;
+constexpr double completion_cost_per_second = 0.04;
 
 // Gain at which all requests are sent away, as a share of a request's value.
-constexpr double gain_for_all = 0.2;
+constexpr double full_spill_gain = 0.2;
 
 double seconds(std::chrono::milliseconds span) {
   return std::chrono::duration<double>(span).count();
@@ -31,8 +31,9 @@
 
 /// Returns 1 up to `good` times `limit` and 0 from `bad` times `limit` on, and
 /// interpolates linearly between them.
-double chance(std::chrono::milliseconds at, std::chrono::milliseconds limit,
-              double good, double bad) {
+double probability_within(std::chrono::milliseconds at,
+                          std::chrono::milliseconds limit, double good,
+                          double bad) {
   if (limit.count() <= 0) return 1;
   const double share =
       static_cast<double>(at.count()) / static_cast<double>(limit.count());
@@ -41,7 +42,8 @@
 
 }  // namespace
 
-outlook delayed(outlook at, std::chrono::milliseconds wait) {
+completion_estimate delayed(completion_estimate at,
+                            std::chrono::milliseconds wait) {
   at.wait += wait;
   at.first_token += wait;
   at.finish += wait;
@@ -49,35 +51,38 @@
 }
 
 std::chrono::milliseconds slot_wait(double load, unsigned slots,
-                                    std::chrono::milliseconds hold) {
+                                    std::chrono::milliseconds slot_time) {
   const double most = std::max(1U, slots);
   // Slots that must become free before this request gets one.
   const double ahead = load + 1 - most;
   if (ahead <= 0) return std::chrono::milliseconds(0);
-  const double ms = ahead / most * static_cast<double>(hold.count());
+  const double ms = ahead / most * static_cast<double>(slot_time.count());
   return std::chrono::milliseconds(static_cast<std::int64_t>(ms));
 }
 
-double expected_value(const outlook& at, const expectation& wanted) {
-  const double on_time = chance(at.first_token, wanted.latency_objective,
-                                surely_on_time, surely_late);
-  const double whole =
-      chance(at.finish, wanted.remaining, surely_whole, surely_cut);
-  return (late_value + (1 - late_value) * on_time) * whole;
+double expected_value(const completion_estimate& at,
+                      const latency_requirements& wanted) {
+  const double on_time = probability_within(
+      at.first_token, wanted.latency_objective, on_time_ratio, late_ratio);
+  const double whole = probability_within(at.finish, wanted.remaining,
+                                          complete_ratio, cut_off_ratio);
+  return (late_response_value + (1 - late_response_value) * on_time) * whole;
 }
 
-double net_value(const outlook& at, const expectation& wanted) {
-  const double whole = std::max(0.0, 1 - cost_per_second * seconds(at.finish));
+double net_value(const completion_estimate& at,
+                 const latency_requirements& wanted) {
+  const double whole =
+      std::max(0.0, 1 - completion_cost_per_second * seconds(at.finish));
   return expected_value(at, wanted) * whole -
-         cost_per_second * seconds(at.slows_others);
+         completion_cost_per_second * seconds(at.delay_to_others);
 }
 
-double chance_value(double value, double chance) {
-  return value > 0 ? value * chance : value;
+double discounted_value(double value, double accept_probability) {
+  return value > 0 ? value * accept_probability : value;
 }
 
 double spill_share(double home, double away) {
-  return std::clamp((away - home) / gain_for_all, 0.0, 1.0);
+  return std::clamp((away - home) / full_spill_gain, 0.0, 1.0);
 }
 
 }  // namespace trestlepost::routing
--- a/routing/src/engine_choice.cc
+++ b/routing/src/engine_choice.cc
@@ -11,22 +11,25 @@
 // otherwise equal candidates.
 constexpr double wait_cost = 0.15;
 
-double score_of(const engine_candidate& it, const expectation& wanted) {
+double score_of(const engine_candidate& it,
+                const latency_requirements& wanted) {
   const double objective =
       wanted.latency_objective.count() > 0
           ? static_cast<double>(wanted.latency_objective.count())
           : static_cast<double>(wanted.remaining.count() + 1);
   const double wait =
       static_cast<double>(it.expected.first_token.count()) / objective;
-  return chance_value(net_value(it.expected, wanted), it.chance) -
-         read_again_cost * it.read_again - copy_cost * it.copied -
-         wait_cost * wait;
+  return discounted_value(net_value(it.expected, wanted),
+                          it.accept_probability) -
+         duplicate_prefill_cost * it.duplicate_prefill -
+         copy_cost * it.copied_share - wait_cost * wait;
 }
 
 }  // namespace
 
 std::optional<std::size_t> choose_engine(
-    const std::vector<engine_candidate>& all, const expectation& wanted) {
+    const std::vector<engine_candidate>& all,
+    const latency_requirements& wanted) {
   std::optional<std::size_t> best;
   double best_score = 0;
   for (std::size_t i = 0; i < all.size(); ++i) {
--- a/routing/src/fair_queue.cc
+++ b/routing/src/fair_queue.cc
@@ -7,12 +7,12 @@
 
 namespace trestlepost::routing {
 
-bool fair_queue::order::operator<(const order& other) const {
+bool fair_queue::queue_position::operator<(const queue_position& other) const {
   return std::make_tuple(-priority, deadline, id) <
          std::make_tuple(-other.priority, other.deadline, other.id);
 }
 
-std::optional<std::uint64_t> fair_queue::push(const waiter& added) {
+std::optional<std::uint64_t> fair_queue::push(const queued_request& added) {
   caller_queue& queue = callers_[added.caller];
   // A caller that was idle starts at the current virtual time, so that it gains
   // no credit while idle.
@@ -20,15 +20,15 @@
     queue.virtual_time = std::max(queue.virtual_time, virtual_now_);
   }
   queue.share = std::max(1U, added.share);
-  const order position{added.priority, added.deadline, added.id};
+  const queue_position position{added.priority, added.deadline, added.id};
   queue.waiting.insert(position);
   by_id_[added.id] = {added.caller, position};
   if (by_id_.size() <= capacity_) return std::nullopt;
-  const std::string heaviest = most_over_share();
-  return take(heaviest, *callers_[heaviest].waiting.rbegin());
+  const std::string heaviest = heaviest_caller();
+  return remove_at(heaviest, *callers_[heaviest].waiting.rbegin());
 }
 
-std::string fair_queue::most_over_share() const {
+std::string fair_queue::heaviest_caller() const {
   std::string out;
   double most = -1;
   for (const auto& [name, it] : callers_) {
@@ -41,8 +41,8 @@
   return out;
 }
 
-std::uint64_t fair_queue::take(const std::string& caller,
-                               const order& position) {
+std::uint64_t fair_queue::remove_at(const std::string& caller,
+                                    const queue_position& position) {
   const std::uint64_t id = position.id;
   caller_queue& queue = callers_[caller];
   queue.waiting.erase(position);
@@ -70,10 +70,10 @@
   caller_queue& queue = callers_[best_caller];
   virtual_now_ = std::max(virtual_now_, queue.virtual_time);
   queue.virtual_time += 1.0 / queue.share;
-  return take(best_caller, *queue.waiting.begin());
+  return remove_at(best_caller, *queue.waiting.begin());
 }
 
-std::vector<std::uint64_t> fair_queue::take_expired(monotonic_time now) {
+std::vector<std::uint64_t> fair_queue::remove_expired(monotonic_time now) {
   std::vector<std::uint64_t> out;
   for (const auto& [id, it] : by_id_) {
     if (it.position.deadline <= now) out.push_back(id);
@@ -86,10 +86,10 @@
   const auto it = by_id_.find(id);
   if (it == by_id_.end()) return;
   const location place = it->second;
-  take(place.caller, place.position);
+  remove_at(place.caller, place.position);
 }
 
-std::size_t fair_queue::waiting_of(const std::string& caller) const {
+std::size_t fair_queue::queued_count(const std::string& caller) const {
   const auto it = callers_.find(caller);
   return it == callers_.end() ? 0 : it->second.waiting.size();
 }
--- a/routing/src/latency_model.cc
+++ b/routing/src/latency_model.cc
@@ -8,10 +8,10 @@
 
 // Factor by which each new observation reduces the weight of earlier ones;
 // about 50 observations are effective.
-constexpr double fading = 0.98;
+constexpr double decay_factor = 0.98;
 // The slope stays within this factor of the prior, so that a series of outliers
 // can't make work appear free or impossible.
-constexpr double most_off = 10;
+constexpr double max_slope_factor = 10;
 
 }  // namespace
 
@@ -23,29 +23,30 @@
 }
 
 void latency_model::add(double units, double ms, double weight) {
-  n_ += weight;
-  x_ += weight * units;
-  y_ += weight * ms;
-  xx_ += weight * units * units;
-  xy_ += weight * units * ms;
+  weight_ += weight;
+  sum_x_ += weight * units;
+  sum_y_ += weight * ms;
+  sum_xx_ += weight * units * units;
+  sum_xy_ += weight * units * ms;
 }
 
 void latency_model::observe(double units, double ms) {
-  for (double* it : {&n_, &x_, &y_, &xx_, &xy_}) *it *= fading;
+  for (double* it : {&weight_, &sum_x_, &sum_y_, &sum_xx_, &sum_xy_})
+    *it *= decay_factor;
   add(units, ms, 1);
   fit();
 }
 
 void latency_model::fit() {
-  const double variance = n_ * xx_ - x_ * x_;
+  const double variance = weight_ * sum_xx_ - sum_x_ * sum_x_;
   // Observations at a single amount of work do not determine the slope.
-  const double least = 1e-6 * n_ * xx_;
-  if (variance > least) {
-    slope_ = std::clamp((n_ * xy_ - x_ * y_) / variance,
-                        prior_.ms_per_unit / most_off,
-                        prior_.ms_per_unit * most_off);
+  const double min_variance = 1e-6 * weight_ * sum_xx_;
+  if (variance > min_variance) {
+    slope_ = std::clamp((weight_ * sum_xy_ - sum_x_ * sum_y_) / variance,
+                        prior_.ms_per_unit / max_slope_factor,
+                        prior_.ms_per_unit * max_slope_factor);
   }
-  base_ = std::max(0.0, (y_ - slope_ * x_) / n_);
+  base_ = std::max(0.0, (sum_y_ - slope_ * sum_x_) / weight_);
 }
 
 double latency_model::predict_ms(double units) const {
--- a/routing/src/placement.cc
+++ b/routing/src/placement.cc
@@ -127,10 +127,10 @@
   return std::binary_search(permitted.begin(), permitted.end(), region);
 }
 
-result<placement> place(const placement_inputs& inputs,
-                        const config::caller& caller,
-                        const config::service& service,
-                        const label_map& request_labels) {
+result<placement> compute_placement(const placement_inputs& inputs,
+                                    const config::caller& caller,
+                                    const config::service& service,
+                                    const label_map& request_labels) {
   const result<void> allowed = check_labels(caller, request_labels);
   if (!allowed) return tl::make_unexpected(allowed.error());
   applied_rules applied = apply_rules(inputs, caller, service, request_labels);
@@ -144,9 +144,9 @@
   if (!request_labels.empty()) {
     // Labels may only narrow a placement: the same regions must be permitted
     // without them.
-    const applied_rules bare = apply_rules(inputs, caller, service, {});
+    const applied_rules unlabelled = apply_rules(inputs, caller, service, {});
     const std::vector<std::string> common =
-        intersection(applied.outcome.permitted, bare.outcome.permitted);
+        intersection(applied.outcome.permitted, unlabelled.outcome.permitted);
     if (common != applied.outcome.permitted) {
       return fail(error_kind::label_not_allowed,
                   "the request's labels would permit additional regions",
--- a/routing/src/former_homes.cc
+++ b/routing/src/previous_homes.cc
@@ -58,7 +58,7 @@
   std::optional<std::string> home(const config::label_map& labels) const {
     if (!exists_) return std::nullopt;
     const result<placement> placed =
-        place({regions_, rules_}, caller_, service_, labels);
+        compute_placement({regions_, rules_}, caller_, service_, labels);
     if (!placed) return std::nullopt;
     return placed->home;
   }
@@ -73,12 +73,12 @@
 
 }  // namespace
 
-std::vector<std::string> former_homes(const config::object_store& store,
-                                      const config::caller& caller,
-                                      const config::service& service,
-                                      const config::label_map& request_labels,
-                                      const std::string& present_home,
-                                      wall_time now) {
+std::vector<std::string> previous_homes(const config::object_store& store,
+                                        const config::caller& caller,
+                                        const config::service& service,
+                                        const config::label_map& request_labels,
+                                        const std::string& present_home,
+                                        wall_time now) {
   std::vector<std::string> out;
   const std::deque<config::former_spec>& former = store.former();
   earlier_objects earlier(store, caller, service);
--- a/routing/src/region_choice.cc
+++ b/routing/src/region_choice.cc
@@ -18,11 +18,12 @@
 }
 
 /// Returns why a region can't serve the request, or an empty string.
-std::string obstacle(const std::string& region, const placement& placed,
-                     const region_view* view, const region_request& request,
-                     policy kind) {
+std::string ineligibility_reason(const std::string& region,
+                                 const placement& placed,
+                                 const region_view* view,
+                                 const region_request& request, policy kind) {
   const bool own = region == request.own_region;
-  if (!own && !request.may_cross) return "this node is isolated";
+  if (!own && !request.may_leave_region) return "this node is isolated";
   const bool home_only = request.bound_to_home || kind == policy::home_only;
   if (home_only && region != placed.home)
     return "only the home region may serve it";
@@ -65,7 +66,8 @@
     const region_view* view = find_view(views, region);
     region_candidate one;
     one.region = region;
-    one.reason = obstacle(region, placed, view, request, options.kind);
+    one.reason =
+        ineligibility_reason(region, placed, view, request, options.kind);
     one.eligible = one.reason.empty();
     if (one.eligible) {
       one.cost = cost_of(region, placed, *view, request, options);
--- a/routing/test/acceptance-test.cc
+++ b/routing/test/acceptance_estimator-test.cc
@@ -1,6 +1,6 @@
 // Acceptance probabilities, and their effect on the choice between endpoints of
 // which some reject every request.
-#include "trestlepost/routing/acceptance.h"
+#include "trestlepost/routing/acceptance_estimator.h"
 
 #include <gtest/gtest.h>
 
@@ -18,28 +18,29 @@
 
 constexpr monotonic_time start{seconds(1000)};
 
-TEST(acceptance_test, what_is_not_known_is_trusted) {
-  const acceptance it;
-  EXPECT_DOUBLE_EQ(it.chance("e1", start), 1);
+TEST(acceptance_estimator_test, a_place_without_outcomes_is_trusted) {
+  const acceptance_estimator it;
+  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 1);
 }
 
-TEST(acceptance_test, each_rejection_lowers_the_chance_and_it_comes_back) {
-  acceptance it;
-  it.rejected("e1", start);
-  EXPECT_DOUBLE_EQ(it.chance("e1", start), 0.5);
-  it.rejected("e1", start);
-  EXPECT_NEAR(it.chance("e1", start), 1.0 / 3, 1e-9);
-  it.taken("e1", start);
-  EXPECT_DOUBLE_EQ(it.chance("e1", start), 0.5);
-  EXPECT_GT(it.chance("e1", start + seconds(15)), 0.95);
-  EXPECT_DOUBLE_EQ(it.chance("e2", start), 1);
+TEST(acceptance_estimator_test,
+     rejections_lower_the_probability_and_it_recovers) {
+  acceptance_estimator it;
+  it.record_rejected("e1", start);
+  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 0.5);
+  it.record_rejected("e1", start);
+  EXPECT_NEAR(it.accept_probability("e1", start), 1.0 / 3, 1e-9);
+  it.record_accepted("e1", start);
+  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 0.5);
+  EXPECT_GT(it.accept_probability("e1", start + seconds(15)), 0.95);
+  EXPECT_DOUBLE_EQ(it.accept_probability("e2", start), 1);
 }
 
-TEST(acceptance_test, places_that_are_gone_are_forgotten) {
-  acceptance it;
-  it.rejected("e1", start);
-  it.keep([](const std::string& place) { return place != "e1"; });
-  EXPECT_DOUBLE_EQ(it.chance("e1", start), 1);
+TEST(acceptance_estimator_test, removed_places_lose_their_outcomes) {
+  acceptance_estimator it;
+  it.record_rejected("e1", start);
+  it.retain([](const std::string& place) { return place != "e1"; });
+  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 1);
 }
 
 // Twelve endpoints, seven of which reject every request immediately for six
@@ -64,11 +65,11 @@
 };
 
 /// Returns the share of requests accepted by the first endpoint tried.
-double share_taken(bool learns) {
+double accepted_share(bool use_estimates) {
   rejecting_region region;
-  acceptance known;
+  acceptance_estimator known;
   constexpr int requests = 360;
-  const expectation wanted{milliseconds(800), seconds(3)};
+  const latency_requirements wanted{milliseconds(800), seconds(3)};
   int taken = 0;
   for (int n = 0; n < requests; ++n) {
     const monotonic_time now = start + n * rejecting_region::between;
@@ -79,30 +80,33 @@
       one.expected.wait = region.wait(e, now);
       one.expected.first_token = one.expected.wait + milliseconds((n + e) % 30);
       one.expected.finish = one.expected.first_token + milliseconds(200);
-      if (learns) one.chance = known.chance(std::to_string(e), now);
+      if (use_estimates)
+        one.accept_probability =
+            known.accept_probability(std::to_string(e), now);
       all.push_back(one);
     }
     const int chosen = static_cast<int>(*choose_engine(all, wanted));
     if (chosen < rejecting_region::rejecting) {
-      known.rejected(std::to_string(chosen), now);
+      known.record_rejected(std::to_string(chosen), now);
       continue;
     }
-    known.taken(std::to_string(chosen), now);
+    known.record_accepted(std::to_string(chosen), now);
     region.ends[chosen].push_back(now + rejecting_region::hold);
     ++taken;
   }
   return static_cast<double>(taken) / requests;
 }
 
-TEST(acceptance_test, endpoints_that_reject_everything_get_little) {
-  EXPECT_LT(share_taken(false), 0.6);
-  EXPECT_GT(share_taken(true), 0.85);
+TEST(acceptance_estimator_test,
+     endpoints_that_reject_everything_get_few_requests) {
+  EXPECT_LT(accepted_share(false), 0.6);
+  EXPECT_GT(accepted_share(true), 0.85);
 }
 
 TEST(engine_choice_test, a_likely_rejection_outweighs_a_shorter_wait) {
-  const expectation wanted{milliseconds(800), seconds(3)};
+  const latency_requirements wanted{milliseconds(800), seconds(3)};
   engine_candidate idle;
-  idle.chance = 0.5;
+  idle.accept_probability = 0.5;
   engine_candidate busy;
   busy.expected.first_token = milliseconds(300);
   EXPECT_EQ(choose_engine({idle, busy}, wanted), 1U);
--- a/routing/test/choice-test.cc
+++ b/routing/test/choice-test.cc
@@ -35,7 +35,7 @@
   const char* expected;
 };
 
-TEST(region_choice_test, spills_when_waiting_at_home_costs_more_than_away) {
+TEST(region_choice_test, spills_when_waiting_at_home_costs_more_than_leaving) {
   const spill_case cases[] = {
       {0, 0, 0, "isola"},     {100, 0, 0, "isola"},   {171, 0, 0, "golfo"},
       {171, 0, 500, "isola"}, {700, 0, 500, "golfo"}, {700, 100, 500, "isola"},
@@ -91,7 +91,7 @@
   for (const region_candidate& it : ranked) {
     RC_ASSERT(placed.permits(it.region));
     if (!it.eligible) continue;
-    RC_ASSERT(request.may_cross || it.region == "a");
+    RC_ASSERT(request.may_leave_region || it.region == "a");
     RC_ASSERT(!request.bound_to_home || it.region == placed.home);
   }
 }
@@ -108,7 +108,8 @@
   return out;
 }
 
-TEST(endpoint_choice_test, one_prefix_stays_on_one_endpoint_while_it_may) {
+TEST(endpoint_choice_test,
+     a_prefix_stays_on_one_endpoint_below_the_load_bound) {
   seeded_random random(1);
   const std::vector<endpoint_view> all = endpoints(4, 8);
   const std::string first = choose_endpoint(all, {77, {}, 1}, random)->name;
@@ -117,7 +118,8 @@
   }
 }
 
-TEST(endpoint_choice_test, a_hot_prefix_is_spread_before_it_overloads) {
+TEST(endpoint_choice_test,
+     a_hot_prefix_is_spread_before_it_overloads_an_endpoint) {
   seeded_random random(1);
   std::vector<endpoint_view> all = endpoints(4, 8);
   for (int i = 0; i < 16; ++i) {
@@ -149,7 +151,7 @@
   EXPECT_FALSE(choose_endpoint(all, {0, {}, 3}, random));
 }
 
-TEST(endpoint_choice_test, a_failed_endpoint_is_avoided_while_others_are) {
+TEST(endpoint_choice_test, a_failed_endpoint_is_avoided_while_others_are_free) {
   seeded_random random(1);
   const std::vector<endpoint_view> all = endpoints(2, 4);
   for (int i = 0; i < 10; ++i) {
@@ -157,16 +159,16 @@
   }
 }
 
-TEST(retry_budget_test, gateways_together_keep_within_shared_limits) {
+TEST(retry_budget_test, gateways_together_stay_within_shared_limits) {
   const shared_retry_limits limits{0.2, 54};
   for (const std::size_t gateways : {1U, 7U, 61U, 300U}) {
     constexpr int requests = 50;  // per gateway, in one window
     int retries = 0;
     for (std::size_t i = 0; i < gateways; ++i) {
-      retry_budget budget(share_of(limits, gateways));
+      retry_budget budget(gateway_share(limits, gateways));
       for (int n = 0; n < requests; ++n) {
-        budget.request_seen();
-        while (budget.take()) ++retries;
+        budget.add_request();
+        while (budget.try_take()) ++retries;
       }
     }
     EXPECT_LE(retries, limits.ratio * requests * gateways + limits.slack)
@@ -174,20 +176,20 @@
   }
 }
 
-TEST(retry_budget_test, a_smaller_share_takes_what_was_saved_above_it) {
-  retry_budget budget(share_of({0.2, 100}, 1));
-  for (int n = 0; n < 100; ++n) budget.request_seen();
-  budget.set_options(share_of({0.2, 100}, 50));
-  EXPECT_TRUE(budget.take());
-  EXPECT_FALSE(budget.take());
+TEST(retry_budget_test, a_smaller_share_drops_saved_retries_above_it) {
+  retry_budget budget(gateway_share({0.2, 100}, 1));
+  for (int n = 0; n < 100; ++n) budget.add_request();
+  budget.set_options(gateway_share({0.2, 100}, 50));
+  EXPECT_TRUE(budget.try_take());
+  EXPECT_FALSE(budget.try_take());
 }
 
-TEST(retry_budget_test, an_outage_adds_a_tenth_at_most) {
+TEST(retry_budget_test, an_outage_adds_at_most_a_tenth) {
   retry_budget budget;
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
-    budget.request_seen();
-    while (budget.take()) ++retries;
+    budget.add_request();
+    while (budget.try_take()) ++retries;
   }
   EXPECT_LE(retries, 100);
   EXPECT_GE(retries, 98);
--- a/routing/test/crash_simulation-test.cc
+++ b/routing/test/crash_simulation-test.cc
@@ -9,122 +9,122 @@
 
 constexpr int seeds = 12;
 // For tests in which a mechanism is disabled.
-constexpr int few_seeds = 3;
-constexpr int most_sends_afterwards = 3;
+constexpr int reduced_seeds = 3;
+constexpr int max_late_sends = 3;
 // Limit for harmless requests. Those that ran beside a crash are retried, and
 // may be hit again while dozens of endpoints crash.
-constexpr double most_held_share = 0.001;
+constexpr double max_held_share = 0.001;
 
 /// Returns the worst result of several seeds, and the sums of harmless
 /// requests.
-crash_outcome worst_of(crash_scenario scenario, int most_seeds = seeds) {
+crash_outcome worst_of(crash_scenario scenario, int seed_count = seeds) {
   crash_outcome out;
-  for (int n = 1; n <= most_seeds; ++n) {
+  for (int n = 1; n <= seed_count; ++n) {
     scenario.seed = static_cast<std::uint64_t>(n);
     const crash_outcome one = simulate(scenario);
-    out.sends_afterwards = std::max(out.sends_afterwards, one.sends_afterwards);
-    out.crashes_by_worst = std::max(out.crashes_by_worst, one.crashes_by_worst);
+    out.late_sends = std::max(out.late_sends, one.late_sends);
+    out.max_crashes_per_kind =
+        std::max(out.max_crashes_per_kind, one.max_crashes_per_kind);
     out.harmless += one.harmless;
     out.harmless_served += one.harmless_served;
     out.harmless_held += one.harmless_held;
   }
-  std::printf(
-      "sends afterwards %d, crashes %d, harmless %d, served %d, held %d\n",
-      out.sends_afterwards, out.crashes_by_worst, out.harmless,
-      out.harmless_served, out.harmless_held);
+  std::printf("late sends %d, crashes %d, harmless %d, served %d, held %d\n",
+              out.late_sends, out.max_crashes_per_kind, out.harmless,
+              out.harmless_served, out.harmless_held);
   return out;
 }
 
-void expect_kept(const crash_scenario& scenario) {
+void expect_within_limits(const crash_scenario& scenario) {
   const crash_outcome out = worst_of(scenario);
-  EXPECT_LE(out.sends_afterwards, most_sends_afterwards);
-  EXPECT_LE(out.harmless_held, most_held_share * out.harmless);
+  EXPECT_LE(out.late_sends, max_late_sends);
+  EXPECT_LE(out.harmless_held, max_held_share * out.harmless);
 }
 
-crash_scenario everything() {
+crash_scenario all_disturbances() {
   crash_scenario out;
   out.zones_crash = true;
   out.gateways_restart = true;
   out.leaders_change = true;
-  out.judges_restart = true;
+  out.control_nodes_restart = true;
   out.gateways_suspended = true;
   out.lost_messages = 0.1;
   return out;
 }
 
-TEST(crash_simulation, lethal_requests_alone) {
-  expect_kept({});
+TEST(crash_simulation, lethal_requests_without_disturbances) {
+  expect_within_limits({});
 }
 
 TEST(crash_simulation, few_endpoints_and_long_queues) {
   crash_scenario it;
   it.endpoints = 10;
-  it.runs_at_once = 24;
-  expect_kept(it);
+  it.concurrent_runs = 24;
+  expect_within_limits(it);
 }
 
 TEST(crash_simulation, many_gateways) {
   crash_scenario it;
   it.gateways = 300;
   it.endpoints = 60;
-  expect_kept(it);
+  expect_within_limits(it);
 }
 
-TEST(crash_simulation, lost_zones_in_series_and_nothing_lethal) {
+TEST(crash_simulation, zone_crashes_in_series_without_lethal_requests) {
   crash_scenario it;
   it.lethal_kinds = 1;
   it.lethal_per_second = 0.001;
   it.zones_crash = true;
-  expect_kept(it);
+  expect_within_limits(it);
 }
 
 TEST(crash_simulation, all_disturbances_at_once) {
-  expect_kept(everything());
+  expect_within_limits(all_disturbances());
 }
 
 TEST(crash_simulation, rare_lethal_requests) {
-  crash_scenario it = everything();
+  crash_scenario it = all_disturbances();
   it.lethal_per_second = 0.7;
-  expect_kept(it);
+  expect_within_limits(it);
 }
 
-TEST(crash_simulation, a_harmless_request_that_comes_again_and_again) {
-  crash_scenario it = everything();
+TEST(crash_simulation, a_repeated_harmless_request) {
+  crash_scenario it = all_disturbances();
   it.lethal_kinds = 6;
-  it.returning_per_second = 20;
-  expect_kept(it);
+  it.repeated_per_second = 20;
+  expect_within_limits(it);
 }
 
 TEST(crash_simulation, most_messages_lost) {
   crash_scenario it;
   it.lethal_per_second = 1;
   it.lost_messages = 0.8;
-  expect_kept(it);
+  expect_within_limits(it);
 }
 
 // The checks detect each disabled mechanism.
-TEST(crash_simulation, without_holds_too_many_are_sent) {
+TEST(crash_simulation, without_holds_too_many_lethal_requests_are_sent) {
   crash_scenario it;
   it.endpoints = 10;
   it.without_holds = true;
-  EXPECT_GT(worst_of(it, few_seeds).sends_afterwards, most_sends_afterwards);
+  EXPECT_GT(worst_of(it, reduced_seeds).late_sends, max_late_sends);
 }
 
-TEST(crash_simulation, without_reports_sent_again_some_are_missed) {
+TEST(crash_simulation, without_repeated_reports_some_crashes_are_missed) {
   crash_scenario it;
   it.lethal_per_second = 1;
   it.lost_messages = 0.8;
-  it.without_reports_sent_again = true;
-  EXPECT_GT(worst_of(it).sends_afterwards, most_sends_afterwards);
+  it.without_repeated_reports = true;
+  EXPECT_GT(worst_of(it).late_sends, max_late_sends);
 }
 
-TEST(crash_simulation, without_good_ends_harmless_ones_are_held) {
-  crash_scenario it = everything();
+TEST(crash_simulation, without_success_reports_harmless_requests_are_held) {
+  crash_scenario it = all_disturbances();
   it.lethal_kinds = 6;
-  it.returning_per_second = 20;
-  it.without_good_ends = true;
-  const crash_outcome out = worst_of(it, few_seeds);
-  EXPECT_GT(out.harmless_held, most_held_share * out.harmless);
+  it.repeated_per_second = 20;
+  it.without_success_reports = true;
+  const crash_outcome out = worst_of(it, reduced_seeds);
+  EXPECT_GT(out.harmless_held, max_held_share * out.harmless);
 }
 
 }  // namespace
--- a/routing/test/crash_simulation.cc
+++ b/routing/test/crash_simulation.cc
@@ -10,17 +10,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr seconds length{40};
-constexpr seconds lethal_from{5};
-constexpr milliseconds contact{5000};
-constexpr milliseconds crash_after{50};
+constexpr seconds run_length{40};
+constexpr seconds first_lethal_at{5};
+// Time within which a connected gateway must have received a hold.
+constexpr milliseconds contact_time{5000};
+// Time from the start of a lethal request until it crashes its endpoint.
+constexpr milliseconds lethal_run_time{50};
+// Time until a crashed endpoint is up again.
 constexpr milliseconds down_time{3200};
-constexpr milliseconds check_time{22};
-constexpr milliseconds judge_interval{25};
-constexpr milliseconds caller_pause{200};
-constexpr int judges = 5;
+constexpr milliseconds crash_detection_time{22};
+constexpr milliseconds evaluate_interval{25};
+constexpr milliseconds caller_retry_delay{200};
+constexpr int control_nodes = 5;
+// Sends per attempt of the caller, and attempts of the caller.
 constexpr int attempts = 2;
-constexpr int caller_tries = 2;
+constexpr int caller_attempts = 2;
 
 const monotonic_time start = monotonic_time(std::chrono::hours(1));
 
@@ -35,13 +39,13 @@
 
 struct endpoint {
   bool up = true;
-  int life = 0;
+  int incarnation = 0;
   std::map<std::uint64_t, request> running;
 };
 
 struct gateway {
-  monotonic_time out_of_touch_until = start;
-  monotonic_time asleep_until = start;
+  monotonic_time disconnected_until = start;
+  monotonic_time suspended_until = start;
   std::set<std::string> held;
   std::set<std::string> watched;
 };
@@ -53,28 +57,29 @@
         random_(it.seed),
         endpoints_(static_cast<std::size_t>(it.endpoints)),
         gateways_(static_cast<std::size_t>(it.gateways)),
-        blame_(judges),
-        crashes_(static_cast<std::size_t>(it.lethal_kinds)),
-        third_(static_cast<std::size_t>(it.lethal_kinds)),
-        late_(static_cast<std::size_t>(it.lethal_kinds)) {}
+        attribution_(control_nodes),
+        crashes_by_kind_(static_cast<std::size_t>(it.lethal_kinds)),
+        third_crash_at_(static_cast<std::size_t>(it.lethal_kinds)),
+        late_sends_(static_cast<std::size_t>(it.lethal_kinds)) {}
 
   crash_outcome run() {
     arrive_harmless();
-    if (options_.returning_per_second > 0) arrive_returning();
+    if (options_.repeated_per_second > 0) arrive_repeated();
     for (int n = 0; n < options_.lethal_kinds; ++n) {
-      at(start + lethal_from + milliseconds(700 * n),
+      at(start + first_lethal_at + milliseconds(700 * n),
          [this, n] { arrive_lethal(n); });
     }
-    at(start, [this] { judge(); });
-    plan_disturbances();
-    while (!events_.empty() && events_.top().at < start + length) {
+    at(start, [this] { evaluate(); });
+    schedule_disturbances();
+    while (!events_.empty() && events_.top().at < start + run_length) {
       const event next = events_.top();
       events_.pop();
       now_ = next.at;
       next.action();
     }
-    out_.sends_afterwards = *std::max_element(late_.begin(), late_.end());
-    out_.crashes_by_worst = *std::max_element(crashes_.begin(), crashes_.end());
+    out_.late_sends = *std::max_element(late_sends_.begin(), late_sends_.end());
+    out_.max_crashes_per_kind =
+        *std::max_element(crashes_by_kind_.begin(), crashes_by_kind_.end());
     return out_;
   }
 
@@ -98,43 +103,43 @@
   }
   bool chance(double p) { return std::bernoulli_distribution(p)(random_); }
   milliseconds delay() { return milliseconds(1 + below(60)); }
-  milliseconds around(double mean) {
+  milliseconds random_time(double mean) {
     const double ms = std::exponential_distribution<double>(1 / mean)(random_);
     return milliseconds(1 + static_cast<int>(ms));
   }
 
   void arrive_harmless() {
-    const double per_ms = options_.endpoints * options_.runs_at_once /
+    const double per_ms = options_.endpoints * options_.concurrent_runs /
                           static_cast<double>(options_.run_time.count());
     at(now_ + std::chrono::microseconds(static_cast<int>(1000 / per_ms)),
        [this] { arrive_harmless(); });
     request it;
     it.fingerprint = "h" + std::to_string(next_id_++);
     ++out_.harmless;
-    come(std::move(it));
+    send_from_caller(std::move(it));
   }
 
-  void arrive_returning() {
-    at(now_ + around(1000 / options_.returning_per_second),
-       [this] { arrive_returning(); });
+  void arrive_repeated() {
+    at(now_ + random_time(1000 / options_.repeated_per_second),
+       [this] { arrive_repeated(); });
     request it;
     it.fingerprint = "returning";
     ++out_.harmless;
-    come(std::move(it));
+    send_from_caller(std::move(it));
   }
 
   void arrive_lethal(int kind) {
-    at(now_ + around(1000 / options_.lethal_per_second),
+    at(now_ + random_time(1000 / options_.lethal_per_second),
        [this, kind] { arrive_lethal(kind); });
     request it;
     it.fingerprint = "lethal" + std::to_string(kind);
     it.lethal = true;
     it.kind = kind;
-    come(std::move(it));
+    send_from_caller(std::move(it));
   }
 
   /// Sends a request from its caller to a random gateway.
-  void come(request it) {
+  void send_from_caller(request it) {
     it.gateway = below(options_.gateways);
     it.sends = 0;
     ++it.tries;
@@ -147,8 +152,8 @@
 
   void send(request it, int avoid) {
     const gateway& by = gateway_of(it);
-    if (now_ < by.asleep_until) {
-      at(by.asleep_until, [this, it, avoid] { send(it, avoid); });
+    if (now_ < by.suspended_until) {
+      at(by.suspended_until, [this, it, avoid] { send(it, avoid); });
       return;
     }
     const bool held = by.held.contains(it.fingerprint);
@@ -163,7 +168,7 @@
       if (up && drawn != avoid) n = drawn;
     }
     if (n < 0) {
-      come_back(std::move(it));
+      retry_from_caller(std::move(it));
       return;
     }
     ++it.sends;
@@ -173,29 +178,31 @@
 
   void count_lethal_send(const request& it) {
     const std::size_t kind = static_cast<std::size_t>(it.kind);
-    const bool known = crashes_[kind] >= 3 && now_ >= third_[kind] + contact;
-    const bool in_touch = now_ >= gateway_of(it).out_of_touch_until;
-    if (known && in_touch) ++late_[kind];
+    const bool crash_known = crashes_by_kind_[kind] >= 3 &&
+                             now_ >= third_crash_at_[kind] + contact_time;
+    const bool connected = now_ >= gateway_of(it).disconnected_until;
+    if (crash_known && connected) ++late_sends_[kind];
   }
 
   void start_run(int n, request it) {
     endpoint& where = endpoints_[static_cast<std::size_t>(n)];
     const std::uint64_t id = next_id_++;
-    const int life = where.life;
+    const int incarnation = where.incarnation;
     const bool lethal = it.lethal;
     where.running[id] = std::move(it);
     const milliseconds takes =
-        lethal ? crash_after
-               : around(static_cast<double>(options_.run_time.count()));
-    at(now_ + takes, [this, n, id, life] { end_run(n, id, life); });
+        lethal ? lethal_run_time
+               : random_time(static_cast<double>(options_.run_time.count()));
+    at(now_ + takes,
+       [this, n, id, incarnation] { end_run(n, id, incarnation); });
   }
 
-  void end_run(int n, std::uint64_t id, int life) {
+  void end_run(int n, std::uint64_t id, int incarnation) {
     endpoint& where = endpoints_[static_cast<std::size_t>(n)];
-    if (where.life != life || !where.running.contains(id)) return;
+    if (where.incarnation != incarnation || !where.running.contains(id)) return;
     if (where.running[id].lethal) {
       const std::size_t kind = static_cast<std::size_t>(where.running[id].kind);
-      if (++crashes_[kind] == 3) third_[kind] = now_;
+      if (++crashes_by_kind_[kind] == 3) third_crash_at_[kind] = now_;
       crash(n);
       return;
     }
@@ -203,78 +210,79 @@
     where.running.erase(id);
     ++out_.harmless_served;
     if (!gateway_of(done).watched.contains(done.fingerprint)) return;
-    if (options_.without_good_ends) return;
+    if (options_.without_success_reports) return;
     report({done.fingerprint, "", "", now_}, 0);
   }
 
   void crash(int n) {
     endpoint& where = endpoints_[static_cast<std::size_t>(n)];
     where.up = false;
-    ++where.life;
-    const std::map<std::uint64_t, request> broken =
+    ++where.incarnation;
+    const std::map<std::uint64_t, request> interrupted =
         std::exchange(where.running, {});
     const std::string name =
-        std::to_string(n) + "@" + std::to_string(where.life);
-    for (const auto& [id, it] : broken) {
+        std::to_string(n) + "@" + std::to_string(where.incarnation);
+    for (const auto& [id, it] : interrupted) {
       gateway_of(it).watched.insert(it.fingerprint);
-      const crash_report told{it.fingerprint, name, "s", now_};
-      at(now_ + check_time, [this, told] { report(told, 0); });
-      fail(it, n);
+      const crash_report sent_report{it.fingerprint, name, "s", now_};
+      at(now_ + crash_detection_time,
+         [this, sent_report] { report(sent_report, 0); });
+      handle_loss(it, n);
     }
     at(now_ + down_time,
        [this, n] { endpoints_[static_cast<std::size_t>(n)].up = true; });
   }
 
   /// Handles the loss of request `it` on endpoint `n`.
-  void fail(request it, int n) {
+  void handle_loss(request it, int n) {
     if (it.sends < attempts) {
       send(std::move(it), n);
     } else {
-      come_back(std::move(it));
+      retry_from_caller(std::move(it));
     }
   }
 
-  void come_back(request it) {
-    if (it.lethal || it.tries >= caller_tries) return;
-    at(now_ + caller_pause, [this, it] { come(it); });
+  void retry_from_caller(request it) {
+    if (it.lethal || it.tries >= caller_attempts) return;
+    at(now_ + caller_retry_delay, [this, it] { send_from_caller(it); });
   }
 
-  void report(const crash_report& told, int sent) {
-    for (crash_blame& it : blame_) {
+  void report(const crash_report& sent_report, int sent) {
+    for (crash_attribution& it : attribution_) {
       if (chance(options_.lost_messages)) continue;
-      at(now_ + delay(), [this, &it, told] {
-        if (told.endpoint.empty()) {
-          it.ended_well(told.fingerprint, told.at);
+      at(now_ + delay(), [this, &it, sent_report] {
+        if (sent_report.endpoint.empty()) {
+          it.record_success(sent_report.fingerprint, sent_report.at);
         } else {
-          it.crashed(told, now_);
+          it.record_crash(sent_report, now_);
         }
       });
     }
-    const bool last = sent == 4 || options_.without_reports_sent_again;
+    const bool last = sent == 4 || options_.without_repeated_reports;
     if (last) return;
     at(now_ + seconds(1 << sent),
-       [this, told, sent] { report(told, sent + 1); });
+       [this, sent_report, sent] { report(sent_report, sent + 1); });
   }
 
-  void judge() {
-    at(now_ + judge_interval, [this] { judge(); });
-    for (int n = 0; n < judges; ++n) {
-      crash_blame& it = blame_[static_cast<std::size_t>(n)];
+  void evaluate() {
+    at(now_ + evaluate_interval, [this] { evaluate(); });
+    for (int n = 0; n < control_nodes; ++n) {
+      crash_attribution& it = attribution_[static_cast<std::size_t>(n)];
       for (const std::string& suspect : it.take_suspects()) {
-        if (n == leader_) tell(suspect, false);
+        if (n == leader_) apply_change(suspect, false);
       }
-      for (const crash_verdict& verdict : it.take_verdicts(now_)) {
-        condemned_.insert(verdict.fingerprint);
+      for (const hold_proposal& proposal : it.take_hold_proposals(now_)) {
+        proposed_.insert(proposal.fingerprint);
       }
     }
     // The leader proposes every request that any control node found.
-    for (const std::string& it : condemned_) {
-      if (in_log_.insert(it).second) tell(it, true);
+    for (const std::string& it : proposed_) {
+      if (held_in_log_.insert(it).second) apply_change(it, true);
     }
   }
 
   /// Applies a change at all gateways; it takes two round trips to take effect.
-  void tell(const std::string& fingerprint, bool hold) {
+  void apply_change(const std::string& fingerprint, bool hold) {
     for (gateway& it : gateways_) {
       at(now_ + delay() + delay() + delay(), [&it, fingerprint, hold] {
         if (hold) it.held.insert(fingerprint);
@@ -283,7 +291,7 @@
     }
   }
 
-  void plan_disturbances() {
+  void schedule_disturbances() {
     for (int n = 0; n < 6; ++n) {
       const monotonic_time when = start + seconds(6 + 5 * n);
       if (options_.zones_crash) {
@@ -291,13 +299,13 @@
       }
       if (options_.gateways_restart) at(when, [this] { restart_gateways(); });
       if (options_.leaders_change) {
-        at(when, [this] { leader_ = below(judges); });
+        at(when, [this] { leader_ = below(control_nodes); });
       }
       if (options_.gateways_suspended) at(when, [this] { suspend_gateways(); });
     }
-    if (options_.judges_restart) {
-      at(start + lethal_from + milliseconds(300), [this] {
-        for (crash_blame& it : blame_) it = crash_blame();
+    if (options_.control_nodes_restart) {
+      at(start + first_lethal_at + milliseconds(300), [this] {
+        for (crash_attribution& it : attribution_) it = crash_attribution();
       });
     }
   }
@@ -314,8 +322,8 @@
     for (gateway& it : gateways_) {
       if (!chance(0.3)) continue;
       it.watched.clear();
-      it.held = in_log_;
-      it.out_of_touch_until = now_ + contact;
+      it.held = held_in_log_;
+      it.disconnected_until = now_ + contact_time;
     }
   }
 
@@ -323,8 +331,8 @@
   void suspend_gateways() {
     for (gateway& it : gateways_) {
       if (!chance(0.3)) continue;
-      it.asleep_until = now_ + seconds(3);
-      it.out_of_touch_until = it.asleep_until + contact;
+      it.suspended_until = now_ + seconds(3);
+      it.disconnected_until = it.suspended_until + contact_time;
     }
   }
 
@@ -336,13 +344,13 @@
   std::uint64_t next_id_ = 0;
   std::vector<endpoint> endpoints_;
   std::vector<gateway> gateways_;
-  std::vector<crash_blame> blame_;
-  std::set<std::string> condemned_;
-  std::set<std::string> in_log_;
+  std::vector<crash_attribution> attribution_;
+  std::set<std::string> proposed_;
+  std::set<std::string> held_in_log_;
   int leader_ = 0;
-  std::vector<int> crashes_;  // by lethal kind
-  std::vector<monotonic_time> third_;
-  std::vector<int> late_;
+  std::vector<int> crashes_by_kind_;  // by lethal kind
+  std::vector<monotonic_time> third_crash_at_;
+  std::vector<int> late_sends_;
   crash_outcome out_;
 };
 
--- a/routing/test/crash_simulation.h
+++ b/routing/test/crash_simulation.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "trestlepost/routing/crash_blame.h"
+#include "trestlepost/routing/crash_attribution.h"
 
 namespace trestlepost::routing::test {
 
@@ -22,30 +22,31 @@
   int endpoints = 24;
   int zones = 3;  // of the endpoints
   /// Mean number of concurrent requests per endpoint.
-  int runs_at_once = 8;
+  int concurrent_runs = 8;
   std::chrono::milliseconds run_time{800};  // mean
   /// Rate of a harmless request that is sent repeatedly, in requests per
   /// second.
-  double returning_per_second = 0;
+  double repeated_per_second = 0;
   int lethal_kinds = 2;
   double lethal_per_second = 10;  // per kind
   bool zones_crash = false;       // one after another, without a lethal request
   bool gateways_restart = false;
   bool leaders_change = false;
-  bool judges_restart = false;  // all at once, just after the first crashes
+  bool control_nodes_restart =
+      false;  // all at once, just after the first crashes
   bool gateways_suspended = false;
   double lost_messages = 0;
   /// Mechanisms to disable, to show that the checks detect their absence.
   bool without_holds = false;
-  bool without_good_ends = false;
-  bool without_reports_sent_again = false;
+  bool without_success_reports = false;
+  bool without_repeated_reports = false;
 };
 
 struct crash_outcome {
   /// For the worst lethal kind: sends by connected gateways later than the
   /// contact time after its third crash.
-  int sends_afterwards = 0;
-  int crashes_by_worst = 0;
+  int late_sends = 0;
+  int max_crashes_per_kind = 0;
   int harmless = 0;
   int harmless_served = 0;
   /// Harmless requests that were held.
--- a/routing/test/fair_queue-test.cc
+++ b/routing/test/fair_queue-test.cc
@@ -12,8 +12,9 @@
 
 using std::chrono::milliseconds;
 
-waiter make(std::uint64_t id, const std::string& caller, int priority = 0,
-            int deadline_ms = 1000, unsigned share = 1) {
+queued_request make(std::uint64_t id, const std::string& caller,
+                    int priority = 0, int deadline_ms = 1000,
+                    unsigned share = 1) {
   return {id, caller, share, priority,
           monotonic_time(milliseconds(deadline_ms))};
 }
@@ -28,7 +29,7 @@
   EXPECT_EQ(modest, 10);
 }
 
-TEST(fair_queue_test, shares_weigh) {
+TEST(fair_queue_test, callers_are_served_by_share) {
   fair_queue queue(1000);
   for (std::uint64_t i = 0; i < 90; ++i) {
     queue.push(make(i, "one", 0, 1000, 1));
@@ -39,7 +40,8 @@
   EXPECT_NEAR(three, 60, 2);
 }
 
-TEST(fair_queue_test, within_a_caller_priority_then_deadline) {
+TEST(fair_queue_test,
+     requests_of_a_caller_are_ordered_by_priority_then_deadline) {
   fair_queue queue(10);
   queue.push(make(1, "c", 0, 500));
   queue.push(make(2, "c", 0, 100));
@@ -50,26 +52,26 @@
   EXPECT_FALSE(queue.pop());
 }
 
-TEST(fair_queue_test, a_full_queue_pushes_out_the_heaviest_caller) {
+TEST(fair_queue_test, a_full_queue_drops_from_the_heaviest_caller) {
   fair_queue queue(4);
   for (std::uint64_t i = 0; i < 4; ++i) queue.push(make(i, "greedy"));
   const std::optional<std::uint64_t> out = queue.push(make(9, "modest"));
   ASSERT_TRUE(out);
   EXPECT_EQ(*out, 3U);
-  EXPECT_EQ(queue.waiting_of("modest"), 1U);
+  EXPECT_EQ(queue.queued_count("modest"), 1U);
 }
 
-TEST(fair_queue_test, takes_out_what_is_too_late) {
+TEST(fair_queue_test, expired_requests_are_removed) {
   fair_queue queue(10);
   queue.push(make(1, "c", 0, 100));
   queue.push(make(2, "c", 0, 200));
   const std::vector<std::uint64_t> late =
-      queue.take_expired(monotonic_time(milliseconds(150)));
+      queue.remove_expired(monotonic_time(milliseconds(150)));
   EXPECT_EQ(late, std::vector<std::uint64_t>{1});
   EXPECT_EQ(queue.size(), 1U);
 }
 
-RC_GTEST_PROP(fair_queue_property, every_waiter_leaves_exactly_once,
+RC_GTEST_PROP(fair_queue_property, every_request_leaves_the_queue_exactly_once,
               (std::uint64_t seed)) {
   seeded_random random(seed);
   fair_queue queue(8);
--- a/routing/test/placement-test.cc
+++ b/routing/test/placement-test.cc
@@ -70,8 +70,8 @@
   };
   for (const placement_case& it : cases) {
     const result<placement> placed =
-        place(inputs_of(store), *store.find_caller("yard"),
-              *store.find_service("guida"), it.labels);
+        compute_placement(inputs_of(store), *store.find_caller("yard"),
+                          *store.find_service("guida"), it.labels);
     if (it.permitted.empty()) {
       ASSERT_FALSE(placed) << it.what;
       EXPECT_EQ(placed.error().kind, it.refused) << it.what;
@@ -89,14 +89,14 @@
       R"({"name":"stranger","token_sha256":
           "0000000000000000000000000000000000000000000000000000000000000002"})");
   const result<placement> placed =
-      place(inputs_of(store), *store.find_caller("stranger"),
-            *store.find_service("guida"), {});
+      compute_placement(inputs_of(store), *store.find_caller("stranger"),
+                        *store.find_service("guida"), {});
   ASSERT_FALSE(placed);
   EXPECT_EQ(placed.error().kind, error_kind::no_matching_rule);
   EXPECT_NE(placed.error().remedy.find("placement_rule"), std::string::npos);
 }
 
-TEST(placement_test, a_label_that_opens_a_region_is_refused) {
+TEST(placement_test, a_label_that_permits_another_region_is_refused) {
   object_store store = make_store();
   put(store, object_kind::placement_rule,
       R"({"name":"planners","callers":{"team":"planner"},
@@ -104,8 +104,8 @@
   put(store, object_kind::placement_rule,
       R"({"name":"wide","requests":{"wide":"yes"},"permit":{}})");
   const result<placement> placed =
-      place(inputs_of(store), *store.find_caller("yard"),
-            *store.find_service("guida"), {{"wide", "yes"}});
+      compute_placement(inputs_of(store), *store.find_caller("yard"),
+                        *store.find_service("guida"), {{"wide", "yes"}});
   ASSERT_FALSE(placed);
   EXPECT_EQ(placed.error().kind, error_kind::label_not_allowed);
 }
@@ -120,7 +120,7 @@
   EXPECT_FALSE(transit_may_be_refused(inputs_of(store), yard, {}, "stretto"));
 }
 
-TEST(former_homes_test, a_moved_home_is_remembered_for_the_window) {
+TEST(previous_homes_test, a_previous_home_is_returned_within_the_key_window) {
   object_store store = make_store();
   const wall_time moved = from_unix_ms(1'700'000'000'000);
   put(store, object_kind::placement_rule,
@@ -130,7 +130,7 @@
   const config::caller& yard = *store.find_caller("yard");
   const config::service& guida = *store.find_service("guida");
   const auto at = [&](std::chrono::hours later) {
-    return former_homes(store, yard, guida, {}, "stretto", moved + later);
+    return previous_homes(store, yard, guida, {}, "stretto", moved + later);
   };
   EXPECT_EQ(at(std::chrono::hours(1)), std::vector<std::string>{"isola"});
   EXPECT_TRUE(at(std::chrono::hours(25)).empty());
@@ -172,10 +172,11 @@
   const config::caller& caller = *store.find_caller("c");
   const config::service& service = *store.find_service("s");
   const result<placement> placed =
-      place(inputs_of(store), caller, service, labels);
+      compute_placement(inputs_of(store), caller, service, labels);
   if (!placed) return;
   RC_ASSERT(placed->permits(placed->home));
-  const result<placement> bare = place(inputs_of(store), caller, service, {});
+  const result<placement> bare =
+      compute_placement(inputs_of(store), caller, service, {});
   for (const std::string& region : placed->permitted) {
     bool any = false;
     for (const auto& [name, rule] : store.rules()) {
--- a/routing/test/route_table-test.cc
+++ b/routing/test/route_table-test.cc
@@ -27,7 +27,7 @@
   return route_table(std::make_shared<const config::traffic_plan>(plan));
 }
 
-TEST(route_table_test, the_longest_prefix_of_the_host_wins) {
+TEST(route_table_test, the_longest_path_prefix_of_the_host_wins) {
   const route_table table = make_table();
   struct example {
     const char* host;
--- a/surface/include/trestlepost/surface/call_head.h
+++ b/surface/include/trestlepost/surface/call_head.h
@@ -41,21 +41,22 @@
   std::string method;
   std::string target;  // path and query, unchanged
   /// Time for which the caller waits for the response.
-  std::optional<std::chrono::milliseconds> patience;
+  std::optional<std::chrono::milliseconds> caller_timeout;
   prompt_outline prompt;
   /// Id of the last event that the caller received of a broken stream, or
   /// empty.
   std::string resume_after;
   /// Headers that are passed to the endpoint unchanged. Contains no hop-by-hop
   /// headers and none that the gateway sets itself.
-  transport::header_list passed_on;
+  transport::header_list passthrough_headers;
 
   std::string_view path() const {
     const std::string_view all = target;
     return all.substr(0, all.find('?'));
   }
-  /// Returns the value of a header in `passed_on`, or an empty string.
-  std::string_view passed_header(std::string_view name) const;
+  /// Returns the value of a header in `passthrough_headers`, or an empty
+  /// string.
+  std::string_view passthrough_header(std::string_view name) const;
 };
 
 json to_json(const call_head& value);
--- a/surface/include/trestlepost/surface/endpoint_codec.h
+++ b/surface/include/trestlepost/surface/endpoint_codec.h
@@ -63,7 +63,7 @@
   virtual endpoint_answer read_head(const transport::http_call& call) const = 0;
 
   /// Returns the response headers that are passed to the caller unchanged.
-  virtual transport::header_list passed_back(
+  virtual transport::header_list passthrough_headers(
       const transport::http_call& call) const = 0;
 };
 
--- a/surface/include/trestlepost/surface/entry_surface.h
+++ b/surface/include/trestlepost/surface/entry_surface.h
@@ -35,8 +35,8 @@
       std::chrono::milliseconds lifetime) const = 0;
 
   /// Returns whether the call is a readiness check of this node.
-  virtual bool asks_readiness(std::string_view method,
-                              std::string_view target) const = 0;
+  virtual bool is_readiness_query(std::string_view method,
+                                  std::string_view target) const = 0;
   virtual transport::http_answer show_readiness(
       const node_report& node) const = 0;
   virtual transport::http_answer refuse(const error& why) const = 0;
--- a/surface/src/call_head.cc
+++ b/surface/src/call_head.cc
@@ -27,9 +27,9 @@
 prompt_outline prompt_from(const json& value) {
   prompt_outline out;
   for (const json& it : member_of(value, "parts")) {
-    const bool sound =
+    const bool valid =
         it.isArray() && it.size() == 2 && it[0].isUInt64() && it[1].isUInt();
-    if (sound) out.parts.push_back({it[0].asUInt64(), it[1].asUInt()});
+    if (valid) out.parts.push_back({it[0].asUInt64(), it[1].asUInt()});
   }
   out.prompt_tokens =
       static_cast<std::uint32_t>(number_of(value, "prompt_tokens"));
@@ -40,7 +40,7 @@
   return out;
 }
 
-tl::unexpected<error> unsound_head(const std::string& what) {
+tl::unexpected<error> invalid_head(const std::string& what) {
   return fail(error_kind::bad_input, what,
               "run the same version of trestlepostd on all nodes");
 }
@@ -50,14 +50,14 @@
   transport::header_list out;
   if (value.isNull()) return out;
   if (!value.isArray() || value.size() % 2 != 0) {
-    return unsound_head(
+    return invalid_head(
         "the headers of a forwarded request are not name-value pairs");
   }
   for (Json::ArrayIndex i = 0; i < value.size(); i += 2) {
     const json& name = value[i];
     const json& text = value[i + 1];
     if (!name.isString() || !text.isString()) {
-      return unsound_head(
+      return invalid_head(
           "a header name or value of a forwarded request is not a string");
     }
     out.emplace_back(name.asString(), text.asString());
@@ -67,8 +67,8 @@
 
 }  // namespace
 
-std::string_view call_head::passed_header(std::string_view name) const {
-  for (const auto& [key, text] : passed_on) {
+std::string_view call_head::passthrough_header(std::string_view name) const {
+  for (const auto& [key, text] : passthrough_headers) {
     if (boost::beast::iequals(key, name)) return text;
   }
   return {};
@@ -83,7 +83,7 @@
   if (value.prompt.known()) out["prompt"] = to_json(value.prompt);
   if (!value.resume_after.empty()) out["resume_after"] = value.resume_after;
   json& headers = out["headers"] = json(Json::arrayValue);
-  for (const auto& [name, text] : value.passed_on) {
+  for (const auto& [name, text] : value.passthrough_headers) {
     headers.append(name);
     headers.append(text);
   }
@@ -101,11 +101,11 @@
   result<transport::header_list> headers =
       headers_from(member_of(value, "headers"));
   if (!headers) return tl::make_unexpected(headers.error());
-  out.passed_on = std::move(*headers);
-  const bool whole = !out.request_id.empty() && !out.method.empty() &&
-                     out.target.starts_with('/');
-  if (whole) return out;
-  return unsound_head(
+  out.passthrough_headers = std::move(*headers);
+  const bool complete = !out.request_id.empty() && !out.method.empty() &&
+                        out.target.starts_with('/');
+  if (complete) return out;
+  return invalid_head(
       "the head of a forwarded request lacks its id, method or path");
 }
 
--- a/surface/test/call_head-test.cc
+++ b/surface/test/call_head-test.cc
@@ -19,11 +19,11 @@
   out.prompt.most_output_tokens = 80;
   out.prompt.expected_output_tokens = 40;
   out.resume_after = "12";
-  out.passed_on = {{"X-A", "1"}, {"X-B", "two, three"}};
+  out.passthrough_headers = {{"X-A", "1"}, {"X-B", "two, three"}};
   return out;
 }
 
-TEST(call_head_test, a_head_survives_its_json) {
+TEST(call_head_test, a_head_round_trips_through_json) {
   const call_head head = make_head();
   const result<call_head> read = call_head_from(to_json(head));
   ASSERT_TRUE(read);
@@ -32,7 +32,7 @@
   EXPECT_EQ(read->target, head.target);
   EXPECT_EQ(read->prompt, head.prompt);
   EXPECT_EQ(read->resume_after, head.resume_after);
-  EXPECT_EQ(read->passed_on, head.passed_on);
+  EXPECT_EQ(read->passthrough_headers, head.passthrough_headers);
 }
 
 TEST(call_head_test, the_path_ends_at_the_query) {
@@ -40,8 +40,8 @@
 }
 
 TEST(call_head_test, a_passed_header_is_found_by_any_case_of_its_name) {
-  EXPECT_EQ(make_head().passed_header("x-b"), "two, three");
-  EXPECT_EQ(make_head().passed_header("X-C"), "");
+  EXPECT_EQ(make_head().passthrough_header("x-b"), "two, three");
+  EXPECT_EQ(make_head().passthrough_header("X-C"), "");
 }
 
 TEST(call_head_test, an_incomplete_head_is_refused) {
@@ -57,7 +57,7 @@
   const char* headers;
 };
 
-TEST(call_head_test, headers_that_are_no_pairs_of_texts_are_refused) {
+TEST(call_head_test, headers_that_are_not_pairs_of_strings_are_refused) {
   const std::vector<headers_example> table{
       {"no list", R"({"X-A":"1"})"},
       {"a text", R"("X-A")"},
@@ -81,11 +81,11 @@
 
 TEST(call_head_test, a_head_without_headers_has_none) {
   call_head bare = make_head();
-  bare.passed_on.clear();
+  bare.passthrough_headers.clear();
   json value = to_json(bare);
-  EXPECT_TRUE(call_head_from(value)->passed_on.empty());
+  EXPECT_TRUE(call_head_from(value)->passthrough_headers.empty());
   value.removeMember("headers");
-  EXPECT_TRUE(call_head_from(value)->passed_on.empty());
+  EXPECT_TRUE(call_head_from(value)->passthrough_headers.empty());
 }
 
 }  // namespace
--- a/surface/test/endpoint_identity-test.cc
+++ b/surface/test/endpoint_identity-test.cc
@@ -10,7 +10,7 @@
 
 const start_time later{milliseconds(1764722400123)};
 
-TEST(endpoint_identity_test, each_life_has_a_name_of_its_own) {
+TEST(endpoint_identity_test, each_incarnation_has_its_own_name) {
   EXPECT_EQ((endpoint_identity{"i-7", {}}).name(), "i-7");
   EXPECT_EQ((endpoint_identity{"i-7", later}).name(), "i-7@1764722400123");
   // Must differ from the name of a later incarnation of "i-7".
