--- a/gateway/include/trestlepost/gateway/admission.h
+++ b/gateway/include/trestlepost/gateway/admission.h
@@ -54,7 +54,7 @@
 
   /// Assigns free endpoints to queued requests of all services and refuses
   /// those that can no longer meet their deadline.
-  void pump_all();
+  void dispatch_all();
 
   membership::service_load load_of(const std::string& service) const;
 
--- a/gateway/include/trestlepost/gateway/context.h
+++ b/gateway/include/trestlepost/gateway/context.h
@@ -19,9 +19,9 @@
 namespace trestlepost::gateway {
 
 /// Access to the ledger of this node's region and to those of other regions.
-class run_once {
+class ledger_client {
  public:
-  virtual ~run_once() = default;
+  virtual ~ledger_client() = default;
 
   /// Returns the decision on a claim once a majority has committed it, or an
   /// error if there is none by `deadline`. In that case the claim is abandoned,
@@ -35,7 +35,7 @@
       monotonic_time deadline) = 0;
 
   /// Records the outcome of an attempt, retrying until it is stored.
-  virtual void finish(const ledger::finish_command& told) = 0;
+  virtual void finish(const ledger::finish_command& command) = 0;
 
   /// Returns a new attempt id, unique to this process.
   virtual std::string make_attempt_id() = 0;
@@ -61,7 +61,7 @@
   membership::endpoint_tracker& endpoints;
   transport::http_client& client;
   gateway_metrics& metrics;
-  run_once& ledger;
+  ledger_client& ledger;
   std::string peer_secret;
   gateway_options options;
   /// Measured round-trip time to each region.
--- a/gateway/include/trestlepost/gateway/crash_watch.h
+++ b/gateway/include/trestlepost/gateway/crash_monitor.h
@@ -17,7 +17,7 @@
 namespace trestlepost::gateway {
 
 /// The endpoint a request ran on.
-struct run_place {
+struct run_location {
   std::string endpoint;
   std::string address;
   std::string service;
@@ -32,23 +32,23 @@
 /// Requests are identified by their fingerprints. Those that crash endpoints
 /// are held: they are sent to no endpoint once the configuration lists them, or
 /// once this gateway alone has observed enough crashes.
-class crash_watch {
+class crash_monitor {
  public:
-  explicit crash_watch(gateway_context& context) : context_(context) {}
+  explicit crash_monitor(gateway_context& context) : context_(context) {}
 
   /// Called for each request that was running on an endpoint when it crashed.
   std::function<void(const routing::crash_report&)> on_crash;
   /// Called when a request that was involved in crashes completes normally.
-  std::function<void(const std::string& fingerprint)> on_ended_well;
+  std::function<void(const std::string& fingerprint)> on_run_completed;
 
   /// Records that a run of the request with this fingerprint lost its
   /// connection, and probes the endpoint.
-  void run_broke(const std::string& fingerprint, const run_place& at);
+  void run_interrupted(const std::string& fingerprint, const run_location& at);
 
   /// Returns whether any request is monitored, so that normal completions have
   /// to be recorded.
-  bool watches_any() const { return !watched_.empty(); }
-  void run_ended_well(const std::string& fingerprint);
+  bool monitors_any() const { return !watched_.empty(); }
+  void run_completed(const std::string& fingerprint);
 
   /// Returns whether any request is held, so that fingerprints have to be
   /// checked.
@@ -60,17 +60,17 @@
   bool is_suspect(const std::string& fingerprint) const;
 
   /// Adds requests under which other gateways observed crashes.
-  void take_suspects(const std::vector<std::string>& fingerprints);
+  void add_suspects(const std::vector<std::string>& fingerprints);
   /// Adds requests that the leader of the control nodes proposes to hold. The
   /// configuration lists them shortly afterwards.
-  void take_condemned(const std::vector<std::string>& fingerprints);
+  void add_proposed_holds(const std::vector<std::string>& fingerprints);
 
   void tick();
 
  private:
   /// Probes the endpoint at `at` and evaluates the interrupted runs.
-  transport::awaitable<void> ask(run_place at);
-  void crashed(const std::string& fingerprint, const run_place& at);
+  transport::awaitable<void> ask(run_location at);
+  void crashed(const std::string& fingerprint, const run_location& at);
   /// Holds the requests that this gateway's own observations are sufficient to
   /// hold.
   void judge_own();
--- a/gateway/include/trestlepost/gateway/endpoint_pool.h
+++ b/gateway/include/trestlepost/gateway/endpoint_pool.h
@@ -11,7 +11,7 @@
 #include "trestlepost/base/error.h"
 #include "trestlepost/gateway/chosen_endpoint.h"
 #include "trestlepost/gateway/context.h"
-#include "trestlepost/gateway/endpoint_lives.h"
+#include "trestlepost/gateway/endpoint_incarnations.h"
 #include "trestlepost/gateway/remote_caches.h"
 #include "trestlepost/gateway/routed_request.h"
 #include "trestlepost/routing/acceptance.h"
@@ -32,9 +32,9 @@
   /// Replaces the list of endpoints by the deployment's whole list, which
   /// reflects the configuration up to revision `covers`. `zones` maps
   /// availability zones to regions.
-  void learn(const std::vector<surface::listed_endpoint>& listed,
-             config::revision_number covers,
-             const std::map<std::string, std::string>& zones);
+  void update_list(const std::vector<surface::listed_endpoint>& listed,
+                   config::revision_number covers,
+                   const std::map<std::string, std::string>& zones);
   /// Applies a change of the traffic plan or of the evacuated zones.
   void refresh();
 
--- a/gateway/include/trestlepost/gateway/endpoint_runner.h
+++ b/gateway/include/trestlepost/gateway/endpoint_runner.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "trestlepost/gateway/attempt.h"
-#include "trestlepost/gateway/crash_watch.h"
+#include "trestlepost/gateway/crash_monitor.h"
 #include "trestlepost/gateway/endpoint_pool.h"
 #include "trestlepost/gateway/event_scanner.h"
 #include "trestlepost/surface/surfaces.h"
@@ -17,7 +17,7 @@
 class endpoint_runner {
  public:
   endpoint_runner(gateway_context& context, const surface::surfaces& surfaces,
-                  endpoint_pool& pool, crash_watch& crashes)
+                  endpoint_pool& pool, crash_monitor& crashes)
       : context_(context),
         surfaces_(surfaces),
         pool_(pool),
@@ -64,7 +64,7 @@
   gateway_context& context_;
   const surface::surfaces& surfaces_;
   endpoint_pool& pool_;
-  crash_watch& crashes_;
+  crash_monitor& crashes_;
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/local_service.h
+++ b/gateway/include/trestlepost/gateway/local_service.h
@@ -9,7 +9,7 @@
 #include "trestlepost/gateway/admission.h"
 #include "trestlepost/gateway/attempt.h"
 #include "trestlepost/gateway/context.h"
-#include "trestlepost/gateway/crash_watch.h"
+#include "trestlepost/gateway/crash_monitor.h"
 #include "trestlepost/gateway/delivery.h"
 #include "trestlepost/gateway/request.h"
 
@@ -17,7 +17,7 @@
 
 class local_service {
  public:
-  local_service(gateway_context& context, crash_watch& crashes)
+  local_service(gateway_context& context, crash_monitor& crashes)
       : context_(context), crashes_(crashes), admission_(context) {}
 
   /// Makes one attempt. Checks the placement again, regardless of the sender.
@@ -69,7 +69,7 @@
               const delivery_result& delivered);
 
   gateway_context& context_;
-  crash_watch& crashes_;
+  crash_monitor& crashes_;
   admission admission_;
 };
 
--- a/gateway/include/trestlepost/gateway/route_handler.h
+++ b/gateway/include/trestlepost/gateway/route_handler.h
@@ -24,7 +24,7 @@
       transport::http_exchange& exchange) override;
 
   /// Refuses new requests from now on. Requests in progress are completed.
-  void stop_taking() { taking_ = false; }
+  void stop_accepting() { taking_ = false; }
 
  private:
   /// Assigns the request to a route and a service.
--- a/gateway/include/trestlepost/gateway/route_service.h
+++ b/gateway/include/trestlepost/gateway/route_service.h
@@ -17,7 +17,7 @@
 class route_service {
  public:
   route_service(gateway_context& context, const surface::surfaces& surfaces,
-                endpoint_pool& pool, crash_watch& crashes,
+                endpoint_pool& pool, crash_monitor& crashes,
                 const routing::shared_retry_limits& retries)
       : context_(context),
         pool_(pool),
@@ -93,7 +93,7 @@
 
   gateway_context& context_;
   endpoint_pool& pool_;
-  crash_watch& crashes_;
+  crash_monitor& crashes_;
   endpoint_runner runner_;
   const routing::shared_retry_limits& retry_limits_;
   std::map<std::string, routing::retry_budget> retries_;  // by service
--- a/gateway/src/admission.cc
+++ b/gateway/src/admission.cc
@@ -178,7 +178,7 @@
   context_.metrics.queue_length(service, queue.queue.size());
 }
 
-void admission::pump_all() {
+void admission::dispatch_all() {
   for (auto& [service, it] : queues_) {
     if (it.queue.size() > 0) pump(service);
   }
--- a/gateway/src/answer_passing.cc
+++ b/gateway/src/answer_relay.cc
@@ -1,4 +1,4 @@
-#include "answer_passing.h"
+#include "answer_relay.h"
 
 #include <utility>
 
--- a/gateway/src/crash_watch.cc
+++ b/gateway/src/crash_monitor.cc
@@ -1,4 +1,4 @@
-#include "trestlepost/gateway/crash_watch.h"
+#include "trestlepost/gateway/crash_monitor.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -64,18 +64,18 @@
 
 }  // namespace
 
-void crash_watch::run_broke(const std::string& fingerprint,
-                            const run_place& at) {
+void crash_monitor::run_interrupted(const std::string& fingerprint,
+                                    const run_location& at) {
   const auto [broken, first] =
       broken_at_.try_emplace(at.endpoint, std::set<std::string>());
   broken->second.insert(fingerprint);
   if (!first) return;
-  run_place asked = at;
+  run_location asked = at;
   transport::asio::co_spawn(context_.io, ask(std::move(asked)),
                             transport::asio::detached);
 }
 
-transport::awaitable<void> crash_watch::ask(run_place at) {
+transport::awaitable<void> crash_monitor::ask(run_location at) {
   transport::timer timer(context_.io);
   timer.expires_after(time_to_end);
   boost::system::error_code ec;
@@ -97,7 +97,8 @@
   for (const std::string& it : broken) crashed(it, at);
 }
 
-void crash_watch::crashed(const std::string& fingerprint, const run_place& at) {
+void crash_monitor::crashed(const std::string& fingerprint,
+                            const run_location& at) {
   const monotonic_time now = context_.clock.now();
   log_event(log_level::info, "run-ended-by-crash",
             {{"fingerprint", fingerprint},
@@ -109,21 +110,21 @@
   if (on_crash) on_crash(report);
 }
 
-void crash_watch::run_ended_well(const std::string& fingerprint) {
+void crash_monitor::run_completed(const std::string& fingerprint) {
   const auto watched = watched_.find(fingerprint);
   if (watched == watched_.end()) return;
   watched_.erase(watched);
   suspects_.erase(fingerprint);
   held_here_.erase(fingerprint);
   blame_.ended_well(fingerprint, context_.clock.now());
-  if (on_ended_well) on_ended_well(fingerprint);
+  if (on_run_completed) on_run_completed(fingerprint);
 }
 
-bool crash_watch::holds_any() const {
+bool crash_monitor::holds_any() const {
   return !held_here_.empty() || !context_.store.held_requests().empty();
 }
 
-std::optional<attempt> crash_watch::refusal_of(
+std::optional<attempt> crash_monitor::refusal_of(
     const std::string& fingerprint) const {
   const bool held = held_here_.contains(fingerprint) ||
                     context_.store.held_requests().contains(fingerprint);
@@ -139,11 +140,11 @@
       after_held);
 }
 
-bool crash_watch::is_suspect(const std::string& fingerprint) const {
+bool crash_monitor::is_suspect(const std::string& fingerprint) const {
   return suspects_.contains(fingerprint);
 }
 
-void crash_watch::take_suspects(const std::vector<std::string>& fingerprints) {
+void crash_monitor::add_suspects(const std::vector<std::string>& fingerprints) {
   const monotonic_time until = context_.clock.now() + watch_time;
   for (const std::string& it : fingerprints) {
     watch(watched_, it, until);
@@ -151,11 +152,12 @@
   }
 }
 
-void crash_watch::take_condemned(const std::vector<std::string>& fingerprints) {
+void crash_monitor::add_proposed_holds(
+    const std::vector<std::string>& fingerprints) {
   for (const std::string& it : fingerprints) hold_here(it);
 }
 
-void crash_watch::hold_here(const std::string& fingerprint) {
+void crash_monitor::hold_here(const std::string& fingerprint) {
   // Already held by the configuration; only an operator may release it.
   if (context_.store.held_requests().contains(fingerprint)) return;
   watch(held_here_, fingerprint, context_.clock.now() + own_hold_time);
@@ -163,15 +165,15 @@
             {{"fingerprint", fingerprint}});
 }
 
-void crash_watch::judge_own() {
-  take_suspects(blame_.take_suspects());
+void crash_monitor::judge_own() {
+  add_suspects(blame_.take_suspects());
   const monotonic_time now = context_.clock.now();
   for (const routing::crash_verdict& it : blame_.take_verdicts(now)) {
     hold_here(it.fingerprint);
   }
 }
 
-void crash_watch::note_released() {
+void crash_monitor::note_released() {
   const config::hold_changes changes = holds_.update(context_.store);
   // The configuration holds them now; from here on only an operator releases
   // them.
@@ -183,7 +185,7 @@
   }
 }
 
-void crash_watch::forget_old() {
+void crash_monitor::forget_old() {
   const monotonic_time now = context_.clock.now();
   if (now < next_cleaning_) return;
   next_cleaning_ = now + cleaning_interval;
@@ -192,7 +194,7 @@
   erase_over(held_here_, now);
 }
 
-void crash_watch::tick() {
+void crash_monitor::tick() {
   judge_own();
   note_released();
   forget_old();
--- a/gateway/src/delivery.cc
+++ b/gateway/src/delivery.cc
@@ -4,7 +4,7 @@
 #include <iterator>
 #include <utility>
 
-#include "answer_passing.h"
+#include "answer_relay.h"
 #include "trestlepost/own/codecs.h"
 
 namespace trestlepost::gateway {
--- a/gateway/src/endpoint_lives.cc
+++ b/gateway/src/endpoint_incarnations.cc
@@ -1,4 +1,4 @@
-#include "trestlepost/gateway/endpoint_lives.h"
+#include "trestlepost/gateway/endpoint_incarnations.h"
 
 #include "trestlepost/base/log.h"
 
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -6,7 +6,7 @@
 
 #include "trestlepost/base/hash.h"
 #include "trestlepost/base/log.h"
-#include "trestlepost/gateway/engine_weighing.h"
+#include "trestlepost/gateway/engine_evaluator.h"
 #include "trestlepost/routing/endpoint_choice.h"
 #include "trestlepost/routing/engine_choice.h"
 
@@ -34,9 +34,10 @@
 
 }  // namespace
 
-void endpoint_pool::learn(const std::vector<surface::listed_endpoint>& listed,
-                          config::revision_number covers,
-                          const std::map<std::string, std::string>& zones) {
+void endpoint_pool::update_list(
+    const std::vector<surface::listed_endpoint>& listed,
+    config::revision_number covers,
+    const std::map<std::string, std::string>& zones) {
   std::vector<surface::listed_endpoint> own;
   remote_caches_.clear();
   const monotonic_time now = context_.clock.now();
--- a/gateway/src/endpoint_runner.cc
+++ b/gateway/src/endpoint_runner.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "answer_passing.h"
+#include "answer_relay.h"
 #include "trestlepost/base/log.h"
 
 namespace trestlepost::gateway {
@@ -100,13 +100,14 @@
   if (reached) context_.metrics.sent(request.service, first);
   const bool broke = out.connection_lost && !exchange.gone();
   if (broke) {
-    crashes_.run_broke(request.fingerprint(context_.peer_secret),
-                       {endpoint.name, endpoint.address, request.service});
+    crashes_.run_interrupted(
+        request.fingerprint(context_.peer_secret),
+        {endpoint.name, endpoint.address, request.service});
   }
   const bool ended_well = (out.delivered && out.cause.message.empty()) ||
                           out.endpoint_answer.has_value();
-  if (ended_well && crashes_.watches_any()) {
-    crashes_.run_ended_well(request.fingerprint(context_.peer_secret));
+  if (ended_well && crashes_.monitors_any()) {
+    crashes_.run_completed(request.fingerprint(context_.peer_secret));
   }
   if (out.delivered && !events.continued()) {
     context_.metrics.served_in(request.service, context_.self.region);
--- a/gateway/src/engine_weighing.cc
+++ b/gateway/src/engine_evaluator.cc
@@ -1,4 +1,4 @@
-#include "trestlepost/gateway/engine_weighing.h"
+#include "trestlepost/gateway/engine_evaluator.h"
 
 #include <algorithm>
 
--- a/gateway/src/local_service.cc
+++ b/gateway/src/local_service.cc
@@ -306,11 +306,11 @@
   transport::http_request out = codec.encode(sending);
   const tl::expected<void, transport::call_failure> sent =
       co_await call->send(std::move(out), request.deadline);
-  const run_place at{lease->name(), lease->address(), request.service->name};
+  const run_location at{lease->name(), lease->address(), request.service->name};
   if (!sent) {
     const bool broke = sent.error().bytes_written && !exchange.gone() &&
                        is_broken(sent.error().cause);
-    if (broke) crashes_.run_broke(fingerprint(request), at);
+    if (broke) crashes_.run_interrupted(fingerprint(request), at);
     co_return send_failed(request, lease->name(), sent.error());
   }
   const surface::endpoint_answer said = codec.read_head(*call);
@@ -346,15 +346,15 @@
       *call, exchange, std::move(headers), std::move(on_first));
   delivered.outcome.endpoint = lease->name();
   const bool broke = delivered.outcome.connection_lost && !exchange.gone();
-  if (broke) crashes_.run_broke(fingerprint(request), at);
+  if (broke) crashes_.run_interrupted(fingerprint(request), at);
   if (!delivered.outcome.delivered) {
     if (!exchange.gone()) {
       context_.endpoints.request_failed(lease->name(), context_.clock.now());
     }
     co_return delivered;
   }
-  if (!broke && crashes_.watches_any()) {
-    crashes_.run_ended_well(fingerprint(request));
+  if (!broke && crashes_.monitors_any()) {
+    crashes_.run_completed(fingerprint(request));
   }
   context_.endpoints.request_succeeded(lease->name());
   context_.metrics.served_in(service, context_.self.region);
--- a/gateway/src/route_forwarder.cc
+++ b/gateway/src/route_forwarder.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "answer_passing.h"
+#include "answer_relay.h"
 #include "refusal_message.h"
 #include "trestlepost/gateway/forward_message.h"
 #include "trestlepost/gateway/retry_after.h"
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -134,7 +134,7 @@
 bool route_service::spends_no_more(routed_request& request,
                                    const attempt& last) const {
   const bool may_have_crashed = last.sends > 0 && last.ran != run_state::no;
-  return may_have_crashed && crashes_.watches_any() &&
+  return may_have_crashed && crashes_.monitors_any() &&
          crashes_.is_suspect(request.fingerprint(context_.peer_secret));
 }
 
--- a/gateway/test/endpoint_lives-test.cc
+++ b/gateway/test/endpoint_incarnations-test.cc
@@ -1,6 +1,6 @@
 // Tests that entries of superseded endpoint incarnations are dropped, also when
 // a delayed list arrives after a newer one.
-#include "trestlepost/gateway/endpoint_lives.h"
+#include "trestlepost/gateway/endpoint_incarnations.h"
 
 #include <gtest/gtest.h>
 
--- a/node/src/ledger_service.h
+++ b/node/src/ledger_service.h
@@ -14,7 +14,7 @@
 
 namespace trestlepost::node {
 
-class ledger_service final : public gateway::run_once,
+class ledger_service final : public gateway::ledger_client,
                              public ledger::command_proposer,
                              public consensus::message_sink {
  public:
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -183,7 +183,7 @@
   gateway::gateway_metrics metrics;
   ledger_service ledger;
   gateway::gateway_context gateway;
-  gateway::crash_watch crashes;
+  gateway::crash_monitor crashes;
   crash_reporter crash_reports;
   gateway::local_service local;
   gateway::forwarder remote;
@@ -318,18 +318,18 @@
   crashes.on_crash = [this](const routing::crash_report& it) {
     crash_reports.crashed(it);
   };
-  crashes.on_ended_well = [this](const std::string& fingerprint) {
+  crashes.on_run_completed = [this](const std::string& fingerprint) {
     crash_reports.ended_well(fingerprint);
   };
   peer_dispatcher.add_notification(
       "crash.suspects",
       [this](const json& params, const transport::rpc_context&) {
-        crashes.take_suspects(fingerprints_of(params));
+        crashes.add_suspects(fingerprints_of(params));
       });
   peer_dispatcher.add_notification(
       "crash.condemned",
       [this](const json& params, const transport::rpc_context&) {
-        crashes.take_condemned(fingerprints_of(params));
+        crashes.add_proposed_holds(fingerprints_of(params));
       });
 }
 
@@ -420,7 +420,7 @@
     if (!routed()) probes.tick();
     routed_parts.tick();
     endpoints.tick(now);
-    local.queue().pump_all();
+    local.queue().dispatch_all();
     operators.tick();
     collect_metrics();
     due = base.clock.now() + tick_interval;
--- a/node/src/planned_stop.cc
+++ b/node/src/planned_stop.cc
@@ -34,7 +34,7 @@
   const timing_settings& timing = context_.options.timing;
   const monotonic_time now = context_.clock.now();
   const bool taking = now < started + timing.drain_grace;
-  if (!taking) parts_.routed_entry.stop_taking();
+  if (!taking) parts_.routed_entry.stop_accepting();
   const bool idle = parts_.entry_server.in_progress() == 0 &&
                     parts_.forward_server.in_progress() == 0 &&
                     parts_.ledger.pending() == 0;
--- a/node/src/routed_gateway.cc
+++ b/node/src/routed_gateway.cc
@@ -10,7 +10,7 @@
 
 routed_gateway::routed_gateway(node_context& context,
                                gateway::gateway_context& gateway,
-                               gateway::crash_watch& crashes,
+                               gateway::crash_monitor& crashes,
                                control_service* control,
                                transport::http_handler& others)
     : context_(context),
@@ -27,7 +27,7 @@
 void routed_gateway::start() {
   listing_.on_listed = [this](const std::vector<surface::listed_endpoint>& all,
                               config::revision_number covers) {
-    pool_.learn(all, covers, context_.options.zone_regions);
+    pool_.update_list(all, covers, context_.options.zone_regions);
   };
   listing_.start();
 }
--- a/node/src/routed_gateway.h
+++ b/node/src/routed_gateway.h
@@ -21,7 +21,7 @@
   /// `control` may be null; `others` takes the forwarded requests that are
   /// not routed ones.
   routed_gateway(node_context& context, gateway::gateway_context& gateway,
-                 gateway::crash_watch& crashes, control_service* control,
+                 gateway::crash_monitor& crashes, control_service* control,
                  transport::http_handler& others);
 
   void start();
