--- a/gateway/include/trestlepost/gateway/admission.h
+++ b/gateway/include/trestlepost/gateway/admission.h
@@ -59,30 +59,30 @@
   membership::service_load load_of(const std::string& service) const;
 
  private:
-  struct slot;
+  struct waiter;
   struct service_queue {
     explicit service_queue(std::size_t capacity) : queue(capacity) {}
     routing::fair_queue queue;
-    std::map<std::uint64_t, std::shared_ptr<slot>> slots;
+    std::map<std::uint64_t, std::shared_ptr<waiter>> waiters;
     std::chrono::duration<double> mean_duration{0};
   };
 
   service_queue& queue_of(const std::string& service);
   /// Assigns free endpoints to queued requests of `service`.
-  void pump(const std::string& service);
+  void dispatch_queued(const std::string& service);
   std::optional<membership::endpoint_view> choose(
       const std::string& service, std::uint64_t affinity,
       const std::set<std::string>& avoid) const;
   endpoint_lease make_lease(const std::string& service,
                             const membership::endpoint_view& chosen);
   /// Removes a queued request and completes it with `outcome`.
-  void end_wait(service_queue& queue, std::uint64_t id, attempt outcome);
+  void complete_waiter(service_queue& queue, std::uint64_t id, attempt outcome);
   /// The number of gateways of this region that send to its endpoints.
-  unsigned gateways() const;
+  unsigned gateway_count() const;
   /// This gateway's share of the requests that the endpoints of `service` can
   /// run at the same time.
   double capacity_of(const std::string& service) const;
-  attempt overload(std::chrono::milliseconds wait) const;
+  attempt overload_refusal(std::chrono::milliseconds wait) const;
 
   gateway_context& context_;
   std::map<std::string, service_queue> queues_;
--- a/gateway/include/trestlepost/gateway/attempt.h
+++ b/gateway/include/trestlepost/gateway/attempt.h
@@ -25,7 +25,7 @@
   unsigned sends = 0;    // endpoints the request was written to
   /// The endpoint's stream was interrupted after the caller received events
   /// from it. The answer is still open and must be continued or aborted.
-  bool stream_broken = false;
+  bool stream_interrupted = false;
   /// The connection to the endpoint was lost during the run.
   bool connection_lost = false;
   /// An error response from the endpoint itself. The caller receives it if
@@ -35,7 +35,7 @@
 
 /// Returns whether `cause` is a lost connection rather than a deadline of this
 /// gateway.
-bool is_broken(const error& cause);
+bool is_connection_loss(const error& cause);
 
 /// Returns an attempt that ended without an answer.
 attempt failed_attempt(
--- a/gateway/include/trestlepost/gateway/chosen_endpoint.h
+++ b/gateway/include/trestlepost/gateway/chosen_endpoint.h
@@ -18,9 +18,9 @@
   /// here; empty if none is known.
   std::string copy_cache_from;
   /// The number of prompt tokens the endpoint is expected to process.
-  std::uint32_t read_tokens = 0;
+  std::uint32_t prefill_tokens = 0;
   /// The probability that the endpoint accepts the request.
-  double chance = 1;
+  double acceptance_probability = 1;
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/context.h
+++ b/gateway/include/trestlepost/gateway/context.h
@@ -27,11 +27,11 @@
   /// error if there is none by `deadline`. In that case the claim is abandoned,
   /// and released if it is granted later.
   virtual transport::awaitable<result<ledger::claim_decision>> claim(
-      ledger::claim_command asked, monotonic_time deadline) = 0;
+      ledger::claim_command command, monotonic_time deadline) = 0;
 
   /// Closes a key in a region that previously owned it.
   virtual transport::awaitable<result<ledger::claim_decision>> fence(
-      std::string region, ledger::fence_command asked,
+      std::string region, ledger::fence_command command,
       monotonic_time deadline) = 0;
 
   /// Records the outcome of an attempt, retrying until it is stored.
@@ -44,7 +44,7 @@
 struct gateway_options {
   std::size_t queue_capacity = 2000;  // per service
   std::chrono::milliseconds claim_timeout{3000};
-  unsigned most_attempts = 3;
+  unsigned max_attempts = 3;
   routing::region_choice_options region_choice;
   /// How long callers may cache a response of the entry directory.
   std::chrono::milliseconds directory_lifetime{5000};
--- a/gateway/include/trestlepost/gateway/crash_monitor.h
+++ b/gateway/include/trestlepost/gateway/crash_monitor.h
@@ -47,7 +47,7 @@
 
   /// Returns whether any request is monitored, so that normal completions have
   /// to be recorded.
-  bool monitors_any() const { return !watched_.empty(); }
+  bool monitors_any() const { return !monitored_.empty(); }
   void run_completed(const std::string& fingerprint);
 
   /// Returns whether any request is held, so that fingerprints have to be
@@ -69,28 +69,28 @@
 
  private:
   /// Probes the endpoint at `at` and evaluates the interrupted runs.
-  transport::awaitable<void> ask(run_location at);
-  void crashed(const std::string& fingerprint, const run_location& at);
+  transport::awaitable<void> probe(run_location at);
+  void record_crash(const std::string& fingerprint, const run_location& at);
   /// Holds the requests that this gateway's own observations are sufficient to
   /// hold.
-  void judge_own();
-  void hold_here(const std::string& fingerprint);
+  void apply_own_verdicts();
+  void hold_locally(const std::string& fingerprint);
   /// Clears the evidence against requests that were released.
-  void note_released();
-  void forget_old();
+  void apply_releases();
+  void remove_expired();
 
   gateway_context& context_;
-  routing::crash_blame blame_;  // based on this gateway's own runs
+  routing::crash_blame attribution_;  // based on this gateway's own runs
   /// Fingerprints of runs that lost their connection, by endpoint, while the
   /// endpoint is being probed.
-  std::map<std::string, std::set<std::string>> broken_at_;
+  std::map<std::string, std::set<std::string>> interrupted_runs_;
   /// Until when the completion of each of these requests is reported.
-  std::map<std::string, monotonic_time> watched_;
+  std::map<std::string, monotonic_time> monitored_;
   std::map<std::string, monotonic_time> suspects_;
   /// Until when this gateway holds each request on its own decision.
-  std::map<std::string, monotonic_time> held_here_;
+  std::map<std::string, monotonic_time> local_holds_;
   config::hold_tracker holds_;
-  monotonic_time next_cleaning_{};
+  monotonic_time next_cleanup_{};
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/endpoint_incarnations.h
+++ b/gateway/include/trestlepost/gateway/endpoint_incarnations.h
@@ -11,26 +11,26 @@
 
 namespace trestlepost::gateway {
 
-class endpoint_lives {
+class endpoint_incarnations {
  public:
   /// Returns the entries of `listed` without those of incarnations superseded
   /// by a newer one, in this list or an earlier one. If two entries describe
   /// the same incarnation, the first is returned; it is marked as leaving if
   /// either of them is.
-  std::vector<surface::listed_endpoint> newest(
+  std::vector<surface::listed_endpoint> select_newest(
       const std::vector<surface::listed_endpoint>& listed, monotonic_time now);
 
  private:
-  struct life {
+  struct incarnation {
     surface::start_time born;
-    monotonic_time listed_at;
+    monotonic_time last_listed;
   };
 
   /// Records the newest incarnation of each endpoint in `listed`.
-  void note(const std::vector<surface::listed_endpoint>& listed,
-            monotonic_time now);
+  void record_newest(const std::vector<surface::listed_endpoint>& listed,
+                     monotonic_time now);
 
-  std::map<std::string, life> newest_;  // by endpoint id
+  std::map<std::string, incarnation> newest_;  // by endpoint id
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/endpoint_pool.h
+++ b/gateway/include/trestlepost/gateway/endpoint_pool.h
@@ -45,16 +45,16 @@
   membership::service_load load_of(const std::string& service) const;
 
   /// Records the load and warmth reported in the head of an answer.
-  void observe(const std::string& endpoint,
-               const surface::endpoint_answer& answer);
+  void record_answer(const std::string& endpoint,
+                     const surface::endpoint_answer& answer);
   /// Removes an endpoint whose address now belongs to another one.
-  void vanished(const std::string& endpoint);
+  void remove_endpoint(const std::string& endpoint);
   /// Records whether `endpoint` accepted a request or rejected it without
   /// running it.
-  void note_taken(const std::string& endpoint);
-  void note_rejected(const std::string& endpoint);
+  void record_accepted(const std::string& endpoint);
+  void record_rejected(const std::string& endpoint);
   /// Records a request sent to `endpoint`, which limits the rate if it is cold.
-  void note_sent(const std::string& endpoint);
+  void record_sent(const std::string& endpoint);
 
   routing::engine_book& engines() { return engines_; }
   const routing::engine_book& engines() const { return engines_; }
@@ -68,14 +68,14 @@
 
  private:
   /// Returns whether `view` may receive a request of `service` now.
-  bool takes_requests(const membership::endpoint_view& view,
-                      const config::planned_service* service) const;
+  bool accepts_requests(const membership::endpoint_view& view,
+                        const config::planned_service* service) const;
   /// Returns whether this gateway is one of the few that send to a cold
   /// endpoint.
   bool is_cold_sender(const std::string& endpoint) const;
-  const config::planned_service* planned(const std::string& service) const;
+  const config::planned_service* find_planned(const std::string& service) const;
   /// Applies evacuations, and ends of evacuations, since the last call.
-  void note_evacuations();
+  void update_evacuations();
   /// Returns whether `endpoint` has to be limited to the request rate of a cold
   /// endpoint.
   bool may_be_cold(const std::string& endpoint, const std::string& zone,
@@ -84,31 +84,31 @@
   /// Selects the endpoint with the highest value among those that run inference
   /// engines.
   std::optional<chosen_endpoint> choose_engine(
-      const std::vector<membership::endpoint_view>& open,
+      const std::vector<membership::endpoint_view>& available,
       const routed_request& request,
       const config::engine_profile& engine) const;
   /// Selects by load among endpoints without engines.
-  std::optional<chosen_endpoint> choose_plain(
+  std::optional<chosen_endpoint> choose_without_engine(
       const std::vector<membership::endpoint_view>& all) const;
-  chosen_endpoint without_engine(const membership::endpoint_view& view) const;
-  /// Returns those of `open` whose acceptance probability is close to the
+  chosen_endpoint make_chosen(const membership::endpoint_view& view) const;
+  /// Returns those of `available` whose acceptance probability is close to the
   /// highest.
-  std::vector<membership::endpoint_view> likely_of(
-      const std::vector<membership::endpoint_view>& open) const;
+  std::vector<membership::endpoint_view> likely_to_accept(
+      const std::vector<membership::endpoint_view>& available) const;
   /// Returns the number of gateways in the local region that are not known to
   /// be dead; at least one.
-  unsigned region_gateways() const;
+  unsigned region_gateway_count() const;
 
   /// The zone and the service of an endpoint.
-  struct place {
+  struct location {
     std::string zone;
     std::string service;
   };
 
   gateway_context& context_;
-  endpoint_lives lives_;
+  endpoint_incarnations incarnations_;
   std::vector<surface::listed_endpoint> listed_;  // in the local region
-  std::map<std::string, place> places_;           // by endpoint
+  std::map<std::string, location> locations_;     // by endpoint
   remote_caches remote_caches_;
   std::map<std::string, monotonic_time> observed_at_;
   routing::engine_book engines_;
--- a/gateway/include/trestlepost/gateway/endpoint_runner.h
+++ b/gateway/include/trestlepost/gateway/endpoint_runner.h
@@ -32,34 +32,34 @@
                                     transport::http_exchange& exchange);
 
  private:
-  struct running;
+  struct active_run;
 
   /// Sends the request and reads the head of its answer.
   transport::awaitable<tl::expected<void, transport::call_failure>> send(
-      running& now);
+      active_run& current);
   /// Skips answers to earlier requests on the same connection.
   transport::awaitable<tl::expected<void, transport::call_failure>>
-  find_own_answer(running& now);
-  attempt send_failed(const running& now,
+  skip_stale_answers(active_run& current);
+  attempt send_failed(const active_run& current,
                       const transport::call_failure& failure);
   /// Evaluates the head of the answer. Returns the result of the attempt if the
   /// endpoint refused the request.
-  std::optional<attempt> read_head(running& now);
-  transport::awaitable<attempt> deliver(running& now);
-  transport::awaitable<attempt> deliver_whole(running& now);
-  transport::awaitable<attempt> deliver_stream(running& now);
+  std::optional<attempt> read_head(active_run& current);
+  transport::awaitable<attempt> deliver(active_run& current);
+  transport::awaitable<attempt> deliver_buffered(active_run& current);
+  transport::awaitable<attempt> deliver_stream(active_run& current);
   /// Relays a resumable stream, in complete events only.
-  transport::awaitable<attempt> deliver_events(running& now);
+  transport::awaitable<attempt> deliver_events(active_run& current);
   /// Returns false if the caller disconnected.
-  transport::awaitable<bool> pass_events(running& now, std::string text,
+  transport::awaitable<bool> pass_events(active_run& current, std::string text,
                                          bool ended);
   /// The endpoint answered a continuation with something other than a stream.
-  attempt no_continuation(running& now);
+  attempt continuation_rejected(active_run& current);
   /// The stream was interrupted, before or after its first event.
-  attempt events_broke(running& now, const error& cause);
+  attempt handle_interruption(active_run& current, const error& cause);
   /// The continuation does not follow the events already sent to the caller.
-  attempt wrong_continuation(running& now, stream_fault fault);
-  attempt caller_left(running& now);
+  attempt continuation_invalid(active_run& current, stream_fault fault);
+  attempt caller_disconnected(active_run& current);
 
   gateway_context& context_;
   const surface::surfaces& surfaces_;
--- a/gateway/include/trestlepost/gateway/engine_evaluator.h
+++ b/gateway/include/trestlepost/gateway/engine_evaluator.h
@@ -20,47 +20,48 @@
 
 /// Estimates the completion of `work` at `view` if the endpoint has to process
 /// `tokens` prompt tokens, including the wait for an engine slot.
-routing::outlook expected_at(const membership::endpoint_view& view,
-                             const routing::engine_work& work,
-                             std::uint32_t tokens,
-                             const config::engine_profile& engine,
-                             const routing::engine_book& engines);
+routing::outlook estimate_completion(const membership::endpoint_view& view,
+                                     const routing::engine_work& work,
+                                     std::uint32_t tokens,
+                                     const config::engine_profile& engine,
+                                     const routing::engine_book& engines);
 
 /// An endpoint and the criteria it is compared by.
-struct weighed_endpoint {
+struct evaluated_endpoint {
   chosen_endpoint chosen;
   routing::engine_candidate candidate;
 };
 
 /// Evaluates the available endpoints for one request. Keeps references to the
 /// constructor's arguments, which must outlive it.
-class engine_weighing {
+class engine_evaluator {
  public:
-  engine_weighing(const std::vector<membership::endpoint_view>& open,
-                  const routed_request& request,
-                  const config::engine_profile& engine,
-                  const routing::engine_book& engines,
-                  const remote_caches& remote);
+  engine_evaluator(const std::vector<membership::endpoint_view>& available,
+                   const routed_request& request,
+                   const config::engine_profile& engine,
+                   const routing::engine_book& engines,
+                   const remote_caches& remote);
 
   /// Evaluates `view`, which must be one of the available endpoints.
-  weighed_endpoint weigh(const membership::endpoint_view& view) const;
+  evaluated_endpoint evaluate(const membership::endpoint_view& view) const;
 
  private:
   /// Finds the available endpoint with the fewest uncached tokens in the shared
   /// sections.
-  void find_holder(const std::vector<membership::endpoint_view>& open);
+  void find_best_cached(
+      const std::vector<membership::endpoint_view>& available);
 
   const routing::engine_work& work_;
   const config::engine_profile& engine_;
   const routing::engine_book& engines_;
-  const membership::endpoint_view* holder_ = nullptr;
-  std::uint32_t holder_lacks_ = 0;
+  const membership::endpoint_view* best_cached_ = nullptr;
+  std::uint32_t best_uncached_tokens_ = 0;
   /// The endpoint all gateways prefer for a section that no endpoint is known
   /// to have cached.
   const membership::endpoint_view* preferred_ = nullptr;
   /// An endpoint of another region that probably has the section cached, if
   /// much of it is missing in this region; may be empty.
-  std::string remote_address_;
+  std::string remote_source_address_;
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/entry_handler.h
+++ b/gateway/include/trestlepost/gateway/entry_handler.h
@@ -27,7 +27,7 @@
  private:
   /// Answers requests for the entry directory, readiness and health, and
   /// reports unknown paths.
-  transport::http_answer answer_about_node(
+  transport::http_answer answer_node_query(
       const transport::http_exchange& exchange) const;
   transport::http_answer answer_entries(
       const transport::http_exchange& exchange,
@@ -43,9 +43,9 @@
   result<std::shared_ptr<const config::caller>> authenticate(
       const transport::http_exchange& exchange) const;
   /// Checks before the body is read whether this region may receive it.
-  result<void> check_early(const config::caller& caller,
-                           const own::call_target& target,
-                           const config::label_map& labels) const;
+  result<void> check_before_body(const config::caller& caller,
+                                 const own::call_target& target,
+                                 const config::label_map& labels) const;
   /// Checks whether the request may pass through this region.
   result<void> check_transit(const routing::placement& placed) const;
   error transit_error(const std::vector<std::string>& permitted) const;
--- a/gateway/include/trestlepost/gateway/event_scanner.h
+++ b/gateway/include/trestlepost/gateway/event_scanner.h
@@ -19,15 +19,15 @@
   /// A line ends with CR alone.
   unreadable,
   /// A continuation repeats an event or starts with an event without an id.
-  not_rising
+  non_increasing_id
 };
 
 std::string_view to_string(stream_fault fault);
 
 /// The result of scanning one piece.
-struct scanned_events {
+struct scan_result {
   /// The bytes that may be sent to the caller now, unchanged.
-  std::string passable;
+  std::string output;
   stream_fault fault = stream_fault::none;
 };
 
@@ -35,65 +35,63 @@
 class event_scanner {
  public:
   /// Bytes of one event that are buffered until it is complete.
-  static constexpr std::size_t default_largest_event = 256UL * 1024;
+  static constexpr std::size_t default_max_event_bytes = 256UL * 1024;
 
-  explicit event_scanner(std::size_t largest_event = default_largest_event)
-      : largest_event_(largest_event) {}
+  explicit event_scanner(std::size_t max_event_bytes = default_max_event_bytes)
+      : max_event_bytes_(max_event_bytes) {}
 
   /// Scans the next piece. After a fault in the first endpoint's stream, all
   /// bytes are passed through as they arrive and there is no resume point.
   /// After a fault in a continuation, the transfer has to be aborted.
-  scanned_events push(std::string piece);
+  scan_result push(std::string piece);
 
   /// Handles the end of the stream as declared by the endpoint: the buffered
   /// bytes are passed on.
-  scanned_events finish();
+  scan_result finish();
 
   /// Handles an interruption of the stream: discards the buffered bytes. The
   /// pieces that follow come from another endpoint, which was sent
   /// `resume_point`.
-  void continue_elsewhere();
+  void start_continuation();
 
   /// Returns whether a continuation is being scanned.
   bool continued() const { return continued_; }
   /// Returns whether part of an event is buffered, or a continuation has not
   /// delivered an event yet. If the connection closes in this state without a
   /// declared end, the stream was interrupted.
-  bool misses_something() const {
-    return !held_.empty() || awaits_first_event_;
-  }
+  bool is_incomplete() const { return !buffer_.empty() || awaits_first_event_; }
   /// Returns the id of the last event passed on. It is empty if there is none
   /// or the event has no id; the stream can't be continued then.
   const std::string& resume_point() const { return resume_point_; }
 
  private:
   /// Appends `piece` to the buffer.
-  void take_in(std::string piece);
+  void append(std::string piece);
   /// Parses the line that ends at offset `end`.
-  stream_fault take_line(std::size_t end);
-  void take_field(std::string_view line);
+  stream_fault parse_line(std::size_t end);
+  void parse_field(std::string_view line);
   /// Finishes the current event and checks its id.
   stream_fault end_event();
   /// Checks the incomplete line at the end of the buffer, and that the event
-  /// that starts at `whole` does not exceed the buffer limit.
-  stream_fault check_rest(std::size_t whole);
-  /// Removes the first `whole` bytes from the buffer and returns them.
-  std::string cut_off(std::size_t whole);
+  /// that starts at `complete_size` does not exceed the buffer limit.
+  stream_fault check_incomplete(std::size_t complete_size);
+  /// Removes the first `complete_size` bytes from the buffer and returns them.
+  std::string take_prefix(std::size_t complete_size);
   /// Gives up scanning: passes on the buffer and everything that follows.
-  void pass_all(scanned_events& out);
-  void forget_event();
+  void start_pass_through(scan_result& out);
+  void reset_event();
 
-  std::size_t largest_event_;
-  std::string held_;
-  std::size_t line_ = 0;             // offset of the current line
-  std::size_t searched_ = 0;         // offset before which there is no line end
+  std::size_t max_event_bytes_;
+  std::string buffer_;
+  std::size_t line_start_ = 0;       // offset of the current line
+  std::size_t search_start_ = 0;     // offset before which there is no line end
   bool inside_event_ = false;        // the last line was not blank
   bool has_field_ = false;           // the event has more than comments
   std::optional<std::uint64_t> id_;  // of the current event
   std::string id_text_;
   std::optional<std::uint64_t> last_id_;
   std::string resume_point_;
-  bool pass_all_ = false;
+  bool pass_through_ = false;
   bool continued_ = false;
   bool awaits_first_event_ = false;  // of a continuation
 };
--- a/gateway/include/trestlepost/gateway/local_service.h
+++ b/gateway/include/trestlepost/gateway/local_service.h
@@ -45,7 +45,7 @@
       transport::http_exchange& exchange);
   /// Closes the key in regions that kept its record before. Returns the
   /// result of the request unless all of them have closed it.
-  transport::awaitable<std::optional<attempt>> fence_former(
+  transport::awaitable<std::optional<attempt>> fence_former_homes(
       const incoming_request& request, const std::string& attempt_id,
       transport::http_exchange& exchange);
   /// Replays the recorded answer or refuses the request, as decided by the
--- a/gateway/include/trestlepost/gateway/metrics.h
+++ b/gateway/include/trestlepost/gateway/metrics.h
@@ -32,8 +32,8 @@
   void resumed(const std::string& service, const std::string& outcome);
   /// `n` runs lost their connections to one endpoint. `endpoint_is` is the
   /// result of the probe: "crashed", "well" or "silent".
-  void runs_broke(const std::string& service, const std::string& endpoint_is,
-                  std::size_t n);
+  void runs_interrupted(const std::string& service,
+                        const std::string& endpoint_is, std::size_t n);
   void forwarded(const std::string& region);
   void queue_length(const std::string& service, std::size_t n);
 
@@ -46,7 +46,7 @@
   prometheus::Family<prometheus::Counter>& retries_;
   prometheus::Family<prometheus::Counter>& retries_denied_;
   prometheus::Family<prometheus::Counter>& resumptions_;
-  prometheus::Family<prometheus::Counter>& broken_runs_;
+  prometheus::Family<prometheus::Counter>& interrupted_runs_;
   prometheus::Family<prometheus::Counter>& forwards_;
   prometheus::Family<prometheus::Gauge>& queue_;
 };
--- a/gateway/include/trestlepost/gateway/region_views.h
+++ b/gateway/include/trestlepost/gateway/region_views.h
@@ -13,7 +13,7 @@
 /// Returns one view per region, without the regions in `exhausted`, which
 /// refused the request.
 std::vector<routing::region_view> region_views(
-    const gateway_context& context, const admission& own,
+    const gateway_context& context, const admission& local,
     const std::string& service, const std::set<std::string>& exhausted);
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/remote_caches.h
+++ b/gateway/include/trestlepost/gateway/remote_caches.h
@@ -27,7 +27,7 @@
   /// or an empty string. It is the one preferred by the gateways of the region
   /// with the most endpoints, among the regions in which `route` permits
   /// caching.
-  std::string likely_holder(const std::string& service,
+  std::string likely_source(const std::string& service,
                             const membership::prompt_section& section,
                             const config::route& route) const;
 
--- a/gateway/include/trestlepost/gateway/route_forward_handler.h
+++ b/gateway/include/trestlepost/gateway/route_forward_handler.h
@@ -13,11 +13,8 @@
  public:
   route_forward_handler(gateway_context& context, route_service& service,
                         const routing::route_table& routes,
-                        transport::http_handler& others)
-      : context_(context),
-        service_(service),
-        routes_(routes),
-        others_(others) {}
+                        transport::http_handler& next)
+      : context_(context), service_(service), routes_(routes), next_(next) {}
 
   transport::awaitable<void> handle(
       transport::http_exchange& exchange) override;
@@ -32,7 +29,7 @@
   gateway_context& context_;
   route_service& service_;
   const routing::route_table& routes_;
-  transport::http_handler& others_;
+  transport::http_handler& next_;
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/route_handler.h
+++ b/gateway/include/trestlepost/gateway/route_handler.h
@@ -13,10 +13,10 @@
 class route_handler final : public transport::http_handler {
  public:
   route_handler(gateway_context& context, const surface::surfaces& surfaces,
-                route_service& own, const routing::route_table& routes)
+                route_service& local, const routing::route_table& routes)
       : context_(context),
         surfaces_(surfaces),
-        own_(own),
+        local_(local),
         remote_(context, surfaces),
         routes_(routes) {}
 
@@ -24,7 +24,7 @@
       transport::http_exchange& exchange) override;
 
   /// Refuses new requests from now on. Requests in progress are completed.
-  void stop_accepting() { taking_ = false; }
+  void stop_accepting() { accepting_ = false; }
 
  private:
   /// Assigns the request to a route and a service.
@@ -32,14 +32,14 @@
                                monotonic_time arrived) const;
   /// Waits briefly for state that a recently started node has not received yet.
   /// Returns false immediately if there is no reason to wait.
-  transport::awaitable<bool> wait_to_learn(monotonic_time arrived,
-                                           transport::http_exchange& exchange);
+  transport::awaitable<bool> wait_for_startup(
+      monotonic_time arrived, transport::http_exchange& exchange);
   /// Tries one region after another until an attempt succeeds or no further
   /// one is permitted.
   transport::awaitable<attempt> run(routed_request& request,
                                     transport::http_exchange& exchange);
   /// Returns whether another region may be tried after `last`.
-  bool may_go_elsewhere(routed_request& request, const attempt& last) const;
+  bool may_try_other_region(routed_request& request, const attempt& last) const;
   /// Handles a request whose head and body were read.
   transport::awaitable<void> answer(surface::call_head head, std::string body,
                                     monotonic_time arrived,
@@ -52,10 +52,10 @@
 
   gateway_context& context_;
   const surface::surfaces& surfaces_;
-  route_service& own_;
+  route_service& local_;
   route_forwarder remote_;
   const routing::route_table& routes_;
-  bool taking_ = true;
+  bool accepting_ = true;
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/route_regions.h
+++ b/gateway/include/trestlepost/gateway/route_regions.h
@@ -21,7 +21,7 @@
 /// now. It is the local region, or another one with a probability that grows
 /// with the gain in value. Regions in `exhausted` are excluded.
 std::optional<region_decision> choose_region(
-    const gateway_context& context, const endpoint_pool& own,
+    const gateway_context& context, const endpoint_pool& local_pool,
     const route_forwarder& remote, const routed_request& request,
     const std::set<std::string>& exhausted);
 
--- a/gateway/include/trestlepost/gateway/route_service.h
+++ b/gateway/include/trestlepost/gateway/route_service.h
@@ -26,7 +26,7 @@
         retry_limits_(retries) {}
 
   /// Runs `request` on one endpoint after another, as permitted by its route,
-  /// starting with `first` if one is already selected. The caller has reserved
+  /// starting with `first` if one is already selected. The caller has charged
   /// the first send.
   transport::awaitable<attempt> serve(
       routed_request& request, const std::optional<chosen_endpoint>& first,
@@ -37,26 +37,25 @@
   /// request on behalf of this one does not record it.
   void request_seen(const std::string& service);
 
-  /// Reserves one send of `request` to an endpoint in any region. The first
-  /// send is free; the others are charged to the retry budget. Returns false if
-  /// the budget is exhausted.
-  bool pay_for_send(routed_request& request);
-  /// Returns the reserved but unused sends of `request` to the budget when it
+  /// Charges one send of `request`, to an endpoint in any region, to the retry
+  /// budget. The first send is free. Returns false if the budget is exhausted.
+  bool charge_send(routed_request& request);
+  /// Returns the charged but unused sends of `request` to the budget when it
   /// has ended.
-  void end_sends(routed_request& request);
+  void release_unused_sends(routed_request& request);
 
   /// Records that `request` is retried in `region` after the attempt `last`.
-  void note_retry(const routed_request& request, const attempt& last,
-                  const std::string& region);
+  void record_retry(const routed_request& request, const attempt& last,
+                    const std::string& region);
 
   /// Returns the refusal for `request` if it is held because endpoints crash
   /// when they run it. Must be checked before every send, to an endpoint or to
   /// another region.
-  std::optional<attempt> held(routed_request& request) const;
+  std::optional<attempt> hold_refusal(routed_request& request) const;
   /// Returns whether `request` must not be retried after `last`, since an
   /// endpoint may have crashed under it and it is already suspected of earlier
   /// crashes.
-  bool spends_no_more(routed_request& request, const attempt& last) const;
+  bool must_stop_retrying(routed_request& request, const attempt& last) const;
 
   endpoint_pool& pool() { return pool_; }
   /// Adjusts this gateway's share of the retries to the number of known
@@ -66,30 +65,31 @@
  private:
   routing::retry_budget& retries_of(const std::string& service);
   /// Returns the number of gateways in all regions, including unreachable ones.
-  std::size_t known_gateways() const;
+  std::size_t known_gateway_count() const;
   /// Returns the next endpoint to try, or the result of the request if none was
   /// tried before.
   tl::expected<chosen_endpoint, attempt> choose(
       const routed_request& request) const;
   /// Returns `chosen`, or a refusal if the request would wait too long there or
   /// would delay the endpoint's other answers by more than its own value.
-  tl::expected<chosen_endpoint, attempt> worth_running(
+  tl::expected<chosen_endpoint, attempt> check_value(
       const routed_request& request, const chosen_endpoint& chosen) const;
   /// Returns whether another endpoint of this region may be tried.
   bool may_retry(routed_request& request, const attempt& last,
                  unsigned unsent) const;
   /// Continues an interrupted stream at other endpoints, or aborts the answer.
-  transport::awaitable<attempt> resume(routed_request& request, attempt broken,
+  transport::awaitable<attempt> resume(routed_request& request,
+                                       attempt interrupted,
                                        event_scanner& events,
                                        transport::http_exchange& exchange);
   /// Returns the endpoint for the rest of the stream, or the reason why it is
   /// not continued.
-  result<chosen_endpoint> next_for_rest(routed_request& request,
-                                        const event_scanner& events,
-                                        unsigned unsent);
-  void note_resumption(const routed_request& request, const attempt& before,
-                       const attempt& after, const std::string& last_event,
-                       const std::string& outcome);
+  result<chosen_endpoint> choose_continuation(routed_request& request,
+                                              const event_scanner& events,
+                                              unsigned unsent);
+  void record_resumption(const routed_request& request, const attempt& before,
+                         const attempt& after, const std::string& last_event,
+                         const std::string& outcome);
 
   gateway_context& context_;
   endpoint_pool& pool_;
--- a/gateway/src/admission.cc
+++ b/gateway/src/admission.cc
@@ -14,11 +14,11 @@
 using transport::awaitable;
 
 // Weight of the newest duration in the moving average.
-constexpr double newest_weight = 0.05;
+constexpr double duration_ewma_weight = 0.05;
 // Fraction of the mean duration that must remain before the deadline when a
 // request leaves the queue.
-constexpr double share_that_must_fit = 0.8;
-constexpr milliseconds longest_estimate{600'000};
+constexpr double min_duration_fraction = 0.8;
+constexpr milliseconds max_wait_estimate{600'000};
 
 error unavailable_error(const std::string& service, const std::string& region) {
   return {error_kind::unavailable,
@@ -45,8 +45,8 @@
 }
 
 /// A queued request.
-struct admission::slot {
-  explicit slot(transport::asio::io_context& io) : wake(io) {
+struct admission::waiter {
+  explicit waiter(transport::asio::io_context& io) : wake(io) {
     wake.expires_at(monotonic_time::max());
   }
   transport::timer wake;
@@ -61,7 +61,7 @@
       .first->second;
 }
 
-unsigned admission::gateways() const {
+unsigned admission::gateway_count() const {
   unsigned n = 0;
   const monotonic_time now = context_.clock.now();
   for (const membership::node_record* it :
@@ -80,7 +80,7 @@
        context_.endpoints.views(service, context_.clock.now())) {
     if (it.usable) total += it.limit;
   }
-  return total / gateways();
+  return total / gateway_count();
 }
 
 milliseconds admission::expected_wait(const std::string& service) const {
@@ -89,10 +89,10 @@
     return milliseconds(0);
   }
   const double capacity = capacity_of(service);
-  if (capacity <= 0) return longest_estimate;
+  if (capacity <= 0) return max_wait_estimate;
   const double seconds = static_cast<double>(found->second.queue.size()) *
                          found->second.mean_duration.count() / capacity;
-  return std::min(longest_estimate,
+  return std::min(max_wait_estimate,
                   milliseconds(static_cast<std::int64_t>(seconds * 1000)));
 }
 
@@ -104,16 +104,16 @@
     queue.mean_duration = seconds;
     return;
   }
-  queue.mean_duration =
-      queue.mean_duration * (1 - newest_weight) + seconds * newest_weight;
+  queue.mean_duration = queue.mean_duration * (1 - duration_ewma_weight) +
+                        seconds * duration_ewma_weight;
 }
 
 std::optional<endpoint_view> admission::choose(
     const std::string& service, std::uint64_t affinity,
     const std::set<std::string>& avoid) const {
-  const routing::endpoint_request asked{affinity, avoid, gateways()};
+  const routing::endpoint_request criteria{affinity, avoid, gateway_count()};
   return routing::choose_endpoint(
-      context_.endpoints.views(service, context_.clock.now()), asked,
+      context_.endpoints.views(service, context_.clock.now()), criteria,
       context_.random);
 }
 
@@ -123,12 +123,12 @@
   const std::string name = chosen.name;
   return {[this, service, name] {
             context_.endpoints.request_ended(name);
-            pump(service);
+            dispatch_queued(service);
           },
           name, chosen.address};
 }
 
-attempt admission::overload(milliseconds wait) const {
+attempt admission::overload_refusal(milliseconds wait) const {
   // The jitter keeps callers refused at the same time from returning at the
   // same time.
   const std::int64_t seconds = 1 + wait.count() / 1000;
@@ -142,36 +142,37 @@
       std::chrono::seconds(seconds + static_cast<std::int64_t>(jitter)));
 }
 
-void admission::end_wait(service_queue& queue, std::uint64_t id,
-                         attempt outcome) {
-  const auto it = queue.slots.find(id);
-  if (it == queue.slots.end()) return;
+void admission::complete_waiter(service_queue& queue, std::uint64_t id,
+                                attempt outcome) {
+  const auto it = queue.waiters.find(id);
+  if (it == queue.waiters.end()) return;
   it->second->refusal = std::move(outcome);
   it->second->wake.cancel();
-  queue.slots.erase(it);
+  queue.waiters.erase(it);
 }
 
-void admission::pump(const std::string& service) {
+void admission::dispatch_queued(const std::string& service) {
   service_queue& queue = queue_of(service);
   const monotonic_time now = context_.clock.now();
   for (const std::uint64_t id : queue.queue.take_expired(now)) {
-    end_wait(queue, id,
-             failed_attempt(run_state::no,
-                            {error_kind::deadline,
-                             "the deadline passed while the request was queued",
-                             "send it again with a later deadline"},
-                            std::chrono::seconds(1)));
+    complete_waiter(
+        queue, id,
+        failed_attempt(run_state::no,
+                       {error_kind::deadline,
+                        "the deadline passed while the request was queued",
+                        "send it again with a later deadline"},
+                       std::chrono::seconds(1)));
   }
   while (queue.queue.size() > 0) {
     // Whether any endpoint has capacity does not depend on the next request.
     if (!choose(service, 0, {})) break;
     const std::optional<std::uint64_t> id = queue.queue.pop();
-    const auto it = queue.slots.find(*id);
-    if (it == queue.slots.end()) continue;
-    const std::shared_ptr<slot> next = it->second;
+    const auto it = queue.waiters.find(*id);
+    if (it == queue.waiters.end()) continue;
+    const std::shared_ptr<waiter> next = it->second;
     const std::optional<endpoint_view> chosen =
         choose(service, next->affinity, next->avoid);
-    queue.slots.erase(it);
+    queue.waiters.erase(it);
     next->lease.emplace(make_lease(service, *chosen));
     next->wake.cancel();
   }
@@ -180,7 +181,7 @@
 
 void admission::dispatch_all() {
   for (auto& [service, it] : queues_) {
-    if (it.queue.size() > 0) pump(service);
+    if (it.queue.size() > 0) dispatch_queued(service);
   }
 }
 
@@ -200,38 +201,39 @@
         std::chrono::seconds(2)));
   }
   const milliseconds wait = expected_wait(service);
-  const std::chrono::nanoseconds must_fit =
-      std::chrono::duration_cast<std::chrono::nanoseconds>(queue.mean_duration *
-                                                           share_that_must_fit);
-  const monotonic_time latest = request.deadline - must_fit;
+  const std::chrono::nanoseconds min_duration =
+      std::chrono::duration_cast<std::chrono::nanoseconds>(
+          queue.mean_duration * min_duration_fraction);
+  const monotonic_time latest = request.deadline - min_duration;
   if (context_.clock.now() + wait >= latest) {
-    co_return tl::make_unexpected(overload(wait));
+    co_return tl::make_unexpected(overload_refusal(wait));
   }
   const std::uint64_t id = next_id_++;
-  std::shared_ptr<slot> own = std::make_shared<slot>(context_.io);
-  own->affinity = request.affinity;
-  own->avoid = std::move(avoid);
-  queue.slots[id] = own;
-  const std::optional<std::uint64_t> pushed_out =
+  std::shared_ptr<waiter> pending = std::make_shared<waiter>(context_.io);
+  pending->affinity = request.affinity;
+  pending->avoid = std::move(avoid);
+  queue.waiters[id] = pending;
+  const std::optional<std::uint64_t> evicted =
       queue.queue.push({id, request.caller->name, request.caller->share,
                         request.priority, latest});
-  if (pushed_out) end_wait(queue, *pushed_out, overload(wait));
+  if (evicted) complete_waiter(queue, *evicted, overload_refusal(wait));
   exchange.on_gone([this, service, id] {
-    service_queue& left = queue_of(service);
-    left.queue.remove(id);
-    end_wait(left, id,
-             failed_attempt(run_state::no, {error_kind::bad_input,
-                                            "the caller disconnected", ""}));
+    service_queue& abandoned = queue_of(service);
+    abandoned.queue.remove(id);
+    complete_waiter(
+        abandoned, id,
+        failed_attempt(run_state::no,
+                       {error_kind::bad_input, "the caller disconnected", ""}));
   });
   context_.metrics.queue_length(service, queue.queue.size());
-  while (!own->lease && !own->refusal) {
+  while (!pending->lease && !pending->refusal) {
     boost::system::error_code ec;
-    co_await own->wake.async_wait(
+    co_await pending->wake.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   }
   exchange.on_gone(nullptr);
-  if (own->refusal) co_return tl::make_unexpected(*own->refusal);
-  co_return std::move(*own->lease);
+  if (pending->refusal) co_return tl::make_unexpected(*pending->refusal);
+  co_return std::move(*pending->lease);
 }
 
 membership::service_load admission::load_of(const std::string& service) const {
@@ -242,7 +244,7 @@
     out.in_flight += it.own_in_flight;
     out.endpoints += it.usable ? 1 : 0;
   }
-  out.free_slots = routing::free_slots(views, gateways());
+  out.free_slots = routing::free_slots(views, gateway_count());
   const auto found = queues_.find(service);
   if (found != queues_.end()) {
     out.queued = static_cast<std::uint32_t>(found->second.queue.size());
--- a/gateway/src/answer_relay.cc
+++ b/gateway/src/answer_relay.cc
@@ -18,10 +18,10 @@
   return out;
 }
 
-awaitable<passed_stream> pass_stream(http_call& call, http_exchange& exchange,
-                                     http_answer head, std::string first,
-                                     const std::function<void()>& on_next) {
-  passed_stream out;
+awaitable<relayed_stream> relay_stream(http_call& call, http_exchange& exchange,
+                                       http_answer head, std::string first,
+                                       const std::function<void()>& on_next) {
+  relayed_stream out;
   result<std::string> piece(std::move(first));
   bool open = co_await exchange.start_stream(std::move(head));
   while (open && !piece->empty()) {
@@ -34,14 +34,14 @@
     if (!open) break;
     if (!piece) {
       exchange.abort();
-      out.broken = piece.error();
+      out.interruption = piece.error();
       co_return out;
     }
     if (!piece->empty()) on_next();
   }
   if (!open) {
     call.cancel();
-    out.caller_left = true;
+    out.caller_disconnected = true;
   }
   co_return out;
 }
--- a/gateway/src/answer_relay.h
+++ b/gateway/src/answer_relay.h
@@ -13,7 +13,7 @@
 
 /// Non-streamed answers are buffered completely before they are sent, so that a
 /// truncated one can be replaced.
-inline constexpr std::size_t largest_plain_answer = 16UL * 1024 * 1024;
+inline constexpr std::size_t max_plain_answer_bytes = 16UL * 1024 * 1024;
 
 /// Returns the answer of `call` without its body.
 transport::http_answer answer_head(const transport::http_call& call,
@@ -21,16 +21,16 @@
 
 /// How a relayed stream ended. If neither member is set, it is complete and the
 /// exchange still has to be finished.
-struct passed_stream {
-  bool caller_left = false;
+struct relayed_stream {
+  bool caller_disconnected = false;
   /// Why the call was interrupted.
-  std::optional<error> broken;
+  std::optional<error> interruption;
 };
 
 /// Sends `head`, then `first` and the rest of the stream piece by piece. Calls
 /// `on_next` at each piece after the first. Cancels the call if the caller
 /// disconnects, and aborts the exchange if the call is interrupted.
-transport::awaitable<passed_stream> pass_stream(
+transport::awaitable<relayed_stream> relay_stream(
     transport::http_call& call, transport::http_exchange& exchange,
     transport::http_answer head, std::string first,
     const std::function<void()>& on_next);
--- a/gateway/src/crash_monitor.cc
+++ b/gateway/src/crash_monitor.cc
@@ -19,38 +19,38 @@
 // An exiting process closes its connections one by one, and its listening
 // socket possibly last. The probe waits this long, and interruptions within
 // this time are evaluated together.
-constexpr milliseconds time_to_end{20};
+constexpr milliseconds process_exit_time{20};
 
 // How long, and for how many requests, the completion of a request involved in
 // a crash is monitored.
-constexpr std::chrono::minutes watch_time{10};
-constexpr std::size_t most_watched = 4096;
+constexpr std::chrono::minutes monitoring_time{10};
+constexpr std::size_t max_monitored = 4096;
 // How long a gateway holds a request on its own decision. The configuration
 // lists the request by then, unless the control nodes have lost their majority.
-constexpr std::chrono::seconds own_hold_time{60};
+constexpr std::chrono::seconds local_hold_time{60};
 
 // Expired entries are removed at this interval, since scanning thousands of
 // them in each tick costs too much CPU time on a small VM.
-constexpr std::chrono::seconds cleaning_interval{1};
+constexpr std::chrono::seconds cleanup_interval{1};
 
-using times_by_fingerprint = std::map<std::string, monotonic_time>;
+using expiry_by_fingerprint = std::map<std::string, monotonic_time>;
 
-void watch(times_by_fingerprint& all, const std::string& fingerprint,
-           monotonic_time until) {
-  if (all.size() >= most_watched && !all.contains(fingerprint)) {
-    const auto first_over = std::min_element(
+void set_expiry(expiry_by_fingerprint& all, const std::string& fingerprint,
+                monotonic_time until) {
+  if (all.size() >= max_monitored && !all.contains(fingerprint)) {
+    const auto first_to_expire = std::min_element(
         all.begin(), all.end(),
         [](const auto& a, const auto& b) { return a.second < b.second; });
-    all.erase(first_over);
+    all.erase(first_to_expire);
   }
   all[fingerprint] = until;
 }
 
-void erase_over(times_by_fingerprint& all, monotonic_time now) {
+void erase_expired(expiry_by_fingerprint& all, monotonic_time now) {
   std::erase_if(all, [now](const auto& it) { return it.second <= now; });
 }
 
-std::string_view name_of(connect_outcome it) {
+std::string_view probe_result_name(connect_outcome it) {
   switch (it) {
     case connect_outcome::refused:
       return "crashed";
@@ -66,67 +66,67 @@
 
 void crash_monitor::run_interrupted(const std::string& fingerprint,
                                     const run_location& at) {
-  const auto [broken, first] =
-      broken_at_.try_emplace(at.endpoint, std::set<std::string>());
-  broken->second.insert(fingerprint);
+  const auto [interrupted, first] =
+      interrupted_runs_.try_emplace(at.endpoint, std::set<std::string>());
+  interrupted->second.insert(fingerprint);
   if (!first) return;
-  run_location asked = at;
-  transport::asio::co_spawn(context_.io, ask(std::move(asked)),
+  run_location probed_location = at;
+  transport::asio::co_spawn(context_.io, probe(std::move(probed_location)),
                             transport::asio::detached);
 }
 
-transport::awaitable<void> crash_monitor::ask(run_location at) {
+transport::awaitable<void> crash_monitor::probe(run_location at) {
   transport::timer timer(context_.io);
-  timer.expires_after(time_to_end);
+  timer.expires_after(process_exit_time);
   boost::system::error_code ec;
   co_await timer.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   std::string address = at.address;
-  const connect_outcome found =
+  const connect_outcome probed =
       co_await context_.client.try_connect(std::move(address));
-  const std::set<std::string> broken =
-      std::move(broken_at_.extract(at.endpoint).mapped());
-  const std::string outcome(name_of(found));
-  context_.metrics.runs_broke(at.service, outcome, broken.size());
+  const std::set<std::string> interrupted =
+      std::move(interrupted_runs_.extract(at.endpoint).mapped());
+  const std::string outcome(probe_result_name(probed));
+  context_.metrics.runs_interrupted(at.service, outcome, interrupted.size());
   log_event(log_level::info, "endpoint-runs-interrupted",
             {{"endpoint", at.endpoint},
              {"service", at.service},
-             {"runs", std::to_string(broken.size())},
+             {"runs", std::to_string(interrupted.size())},
              {"endpoint_is", outcome}});
-  if (found != connect_outcome::refused) co_return;
-  for (const std::string& it : broken) crashed(it, at);
+  if (probed != connect_outcome::refused) co_return;
+  for (const std::string& it : interrupted) record_crash(it, at);
 }
 
-void crash_monitor::crashed(const std::string& fingerprint,
-                            const run_location& at) {
+void crash_monitor::record_crash(const std::string& fingerprint,
+                                 const run_location& at) {
   const monotonic_time now = context_.clock.now();
   log_event(log_level::info, "run-ended-by-crash",
             {{"fingerprint", fingerprint},
              {"endpoint", at.endpoint},
              {"service", at.service}});
   const routing::crash_report report{fingerprint, at.endpoint, at.service, now};
-  blame_.crashed(report, now);
-  watch(watched_, fingerprint, now + watch_time);
+  attribution_.crashed(report, now);
+  set_expiry(monitored_, fingerprint, now + monitoring_time);
   if (on_crash) on_crash(report);
 }
 
 void crash_monitor::run_completed(const std::string& fingerprint) {
-  const auto watched = watched_.find(fingerprint);
-  if (watched == watched_.end()) return;
-  watched_.erase(watched);
+  const auto monitored = monitored_.find(fingerprint);
+  if (monitored == monitored_.end()) return;
+  monitored_.erase(monitored);
   suspects_.erase(fingerprint);
-  held_here_.erase(fingerprint);
-  blame_.ended_well(fingerprint, context_.clock.now());
+  local_holds_.erase(fingerprint);
+  attribution_.ended_well(fingerprint, context_.clock.now());
   if (on_run_completed) on_run_completed(fingerprint);
 }
 
 bool crash_monitor::holds_any() const {
-  return !held_here_.empty() || !context_.store.held_requests().empty();
+  return !local_holds_.empty() || !context_.store.held_requests().empty();
 }
 
 std::optional<attempt> crash_monitor::refusal_of(
     const std::string& fingerprint) const {
-  const bool held = held_here_.contains(fingerprint) ||
+  const bool held = local_holds_.contains(fingerprint) ||
                     context_.store.held_requests().contains(fingerprint);
   if (!held) return std::nullopt;
   return failed_attempt(
@@ -137,7 +137,7 @@
        "change the request; an operator may release it with `trestlepost "
        "release " +
            fingerprint + "`"},
-      after_held);
+      retry_after_held);
 }
 
 bool crash_monitor::is_suspect(const std::string& fingerprint) const {
@@ -145,59 +145,59 @@
 }
 
 void crash_monitor::add_suspects(const std::vector<std::string>& fingerprints) {
-  const monotonic_time until = context_.clock.now() + watch_time;
+  const monotonic_time until = context_.clock.now() + monitoring_time;
   for (const std::string& it : fingerprints) {
-    watch(watched_, it, until);
-    watch(suspects_, it, until);
+    set_expiry(monitored_, it, until);
+    set_expiry(suspects_, it, until);
   }
 }
 
 void crash_monitor::add_proposed_holds(
     const std::vector<std::string>& fingerprints) {
-  for (const std::string& it : fingerprints) hold_here(it);
+  for (const std::string& it : fingerprints) hold_locally(it);
 }
 
-void crash_monitor::hold_here(const std::string& fingerprint) {
+void crash_monitor::hold_locally(const std::string& fingerprint) {
   // Already held by the configuration; only an operator may release it.
   if (context_.store.held_requests().contains(fingerprint)) return;
-  watch(held_here_, fingerprint, context_.clock.now() + own_hold_time);
+  set_expiry(local_holds_, fingerprint, context_.clock.now() + local_hold_time);
   log_event(log_level::info, "request-held-locally",
             {{"fingerprint", fingerprint}});
 }
 
-void crash_monitor::judge_own() {
-  add_suspects(blame_.take_suspects());
+void crash_monitor::apply_own_verdicts() {
+  add_suspects(attribution_.take_suspects());
   const monotonic_time now = context_.clock.now();
-  for (const routing::crash_verdict& it : blame_.take_verdicts(now)) {
-    hold_here(it.fingerprint);
+  for (const routing::crash_verdict& it : attribution_.take_verdicts(now)) {
+    hold_locally(it.fingerprint);
   }
 }
 
-void crash_monitor::note_released() {
+void crash_monitor::apply_releases() {
   const config::hold_changes changes = holds_.update(context_.store);
   // The configuration holds them now; from here on only an operator releases
   // them.
-  for (const std::string& it : changes.held) held_here_.erase(it);
+  for (const std::string& it : changes.held) local_holds_.erase(it);
   for (const std::string& it : changes.released) {
-    blame_.forget(it);
-    watched_.erase(it);
+    attribution_.forget(it);
+    monitored_.erase(it);
     suspects_.erase(it);
   }
 }
 
-void crash_monitor::forget_old() {
+void crash_monitor::remove_expired() {
   const monotonic_time now = context_.clock.now();
-  if (now < next_cleaning_) return;
-  next_cleaning_ = now + cleaning_interval;
-  erase_over(watched_, now);
-  erase_over(suspects_, now);
-  erase_over(held_here_, now);
+  if (now < next_cleanup_) return;
+  next_cleanup_ = now + cleanup_interval;
+  erase_expired(monitored_, now);
+  erase_expired(suspects_, now);
+  erase_expired(local_holds_, now);
 }
 
 void crash_monitor::tick() {
-  judge_own();
-  note_released();
-  forget_old();
+  apply_own_verdicts();
+  apply_releases();
+  remove_expired();
 }
 
 }  // namespace trestlepost::gateway
--- a/gateway/src/delivery.cc
+++ b/gateway/src/delivery.cc
@@ -18,7 +18,7 @@
 
 // Non-streamed answers up to this size are buffered completely before they are
 // sent.
-constexpr std::size_t buffered_answer = 1024UL * 1024;
+constexpr std::size_t max_buffered_bytes = 1024UL * 1024;
 constexpr std::string_view event_stream = "text/event-stream";
 
 http_answer head_of(const http_call& call, header_list headers) {
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool is_broken(const error& cause) {
+bool is_connection_loss(const error& cause) {
   return cause.kind != error_kind::deadline;
 }
 
@@ -65,7 +65,7 @@
     result<std::string> piece = co_await call.read_piece();
     if (!piece) {
       out.outcome.cause = piece.error();
-      out.outcome.connection_lost = is_broken(piece.error());
+      out.outcome.connection_lost = is_connection_loss(piece.error());
       co_return out;
     }
     if (first) on_first();
@@ -73,14 +73,15 @@
     const bool ended = piece->empty();
     buffered += *piece;
     if (ended) break;
-    if (streamed || buffered.size() > buffered_answer) {
+    if (streamed || buffered.size() > max_buffered_bytes) {
       out.outcome.delivered = true;
       out.outcome.ran = run_state::yes;
       const std::function<void()> on_next = [] {};
-      const passed_stream passed = co_await pass_stream(
+      const relayed_stream relayed = co_await relay_stream(
           call, exchange, std::move(answer), std::move(buffered), on_next);
-      out.outcome.connection_lost = passed.broken && is_broken(*passed.broken);
-      const bool whole = !passed.caller_left && !passed.broken;
+      out.outcome.connection_lost =
+          relayed.interruption && is_connection_loss(*relayed.interruption);
+      const bool whole = !relayed.caller_disconnected && !relayed.interruption;
       if (whole) co_await exchange.finish_stream();
       co_return out;
     }
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -19,18 +19,18 @@
 
 // Minimum interval between load reports that are recorded for one endpoint. The
 // adaptive limits are designed for about this rate.
-constexpr milliseconds report_interval{250};
+constexpr milliseconds min_report_interval{250};
 // Endpoints queue a few requests themselves. An endpoint whose load exceeds its
 // limit by this factor receives no more requests.
-constexpr double most_over_limit = 3;
+constexpr double max_load_factor = 3;
 // The priority for which advertised waits are computed. All queued requests
 // precede it.
-constexpr int least_urgent = 9;
+constexpr int lowest_priority = 9;
 // Among endpoints without engines, load decides between those whose acceptance
 // probability is at least this fraction of the highest.
-constexpr double least_share_of_best = 0.6;
+constexpr double min_acceptance_ratio = 0.6;
 // How long requests to cold endpoints are remembered.
-constexpr std::chrono::seconds cold_memory{30};
+constexpr std::chrono::seconds cold_send_retention{30};
 
 }  // namespace
 
@@ -41,7 +41,8 @@
   std::vector<surface::listed_endpoint> own;
   remote_caches_.clear();
   const monotonic_time now = context_.clock.now();
-  for (surface::listed_endpoint& it : lives_.newest(listed, now)) {
+  for (surface::listed_endpoint& it :
+       incarnations_.select_newest(listed, now)) {
     const auto zone = zones.find(it.availability_zone);
     if (zone == zones.end()) continue;
     if (zone->second == context_.self.region) {
@@ -60,7 +61,7 @@
   refresh();
 }
 
-void endpoint_pool::note_evacuations() {
+void endpoint_pool::update_evacuations() {
   const std::set<std::string>& evacuated = context_.store.evacuated_zones();
   for (const std::string& it : evacuated) {
     if (evacuated_.contains(it)) continue;
@@ -71,23 +72,24 @@
   // partitioned or stalled may receive the start and the end of an evacuation
   // at once.
   for (const auto& [zone, revision] : context_.store.given_back()) {
-    const bool news = warmth_.given_back(zone, revision, context_.clock.now());
-    if (!news) continue;
+    const bool is_new =
+        warmth_.given_back(zone, revision, context_.clock.now());
+    if (!is_new) continue;
     log_event(log_level::info, "zone-evacuation-ended", {{"zone", zone}});
   }
 }
 
 void endpoint_pool::refresh() {
-  note_evacuations();
+  update_evacuations();
   const monotonic_time now = context_.clock.now();
   std::vector<membership::endpoint_tracker::declared_endpoint> declared;
   std::vector<routing::engine_book::endpoint> engines;
-  places_.clear();
+  locations_.clear();
   for (const surface::listed_endpoint& it : listed_) {
     const std::string name = it.identity.name();
     declared.push_back({name, it.service, it.address, it.slots, it.leaving});
-    places_[name] = {it.availability_zone, it.service};
-    const config::planned_service* service = planned(it.service);
+    locations_[name] = {it.availability_zone, it.service};
+    const config::planned_service* service = find_planned(it.service);
     if (service != nullptr && service->engine) {
       engines.push_back({name, it.service, service->engine->kv_capacity,
                          service->engine->tokens_per_event});
@@ -95,21 +97,22 @@
   }
   context_.endpoints.declare(declared, now);
   engines_.declare(engines);
-  warmth_.keep([this](const std::string& it) { return places_.contains(it); },
-               now);
+  warmth_.keep(
+      [this](const std::string& it) { return locations_.contains(it); }, now);
   acceptance_.keep(
-      [this](const std::string& it) { return places_.contains(it); });
-  std::erase_if(observed_at_,
-                [this](const auto& it) { return !places_.contains(it.first); });
+      [this](const std::string& it) { return locations_.contains(it); });
+  std::erase_if(observed_at_, [this](const auto& it) {
+    return !locations_.contains(it.first);
+  });
 }
 
-const config::planned_service* endpoint_pool::planned(
+const config::planned_service* endpoint_pool::find_planned(
     const std::string& service) const {
   const config::plan_ptr& plan = context_.store.plan();
   return plan ? plan->find_service(service) : nullptr;
 }
 
-unsigned endpoint_pool::region_gateways() const {
+unsigned endpoint_pool::region_gateway_count() const {
   const std::size_t others =
       context_.nodes.possible_gateways(context_.self, context_.clock.now())
           .size();
@@ -138,38 +141,40 @@
                                 monotonic_time now) const {
   const milliseconds warmup =
       service == nullptr ? milliseconds(0) : service->warmup;
-  const bool unheard = warmup.count() > 0 && context_.state.is_behind(now);
-  return unheard || warmth_.may_be_cold(endpoint, zone, warmup, now);
+  const bool possibly_stale =
+      warmup.count() > 0 && context_.state.is_behind(now);
+  return possibly_stale || warmth_.may_be_cold(endpoint, zone, warmup, now);
 }
 
-bool endpoint_pool::takes_requests(
+bool endpoint_pool::accepts_requests(
     const endpoint_view& view, const config::planned_service* service) const {
   if (!view.usable) return false;
-  const auto found = places_.find(view.name);
-  if (found == places_.end() ||
+  const auto found = locations_.find(view.name);
+  if (found == locations_.end() ||
       context_.store.evacuated_zones().contains(found->second.zone)) {
     return false;
   }
   const monotonic_time now = context_.clock.now();
   if (!may_be_cold(view.name, found->second.zone, service, now)) return true;
-  const double bears =
+  const double cold_rate =
       service == nullptr ? 0 : service->cold_requests_per_second;
-  if (bears <= 0) return true;
-  return is_cold_sender(view.name) && cold_.may_send(view.name, bears, now);
+  if (cold_rate <= 0) return true;
+  return is_cold_sender(view.name) && cold_.may_send(view.name, cold_rate, now);
 }
 
 std::optional<chosen_endpoint> endpoint_pool::choose_engine(
-    const std::vector<endpoint_view>& open, const routed_request& request,
+    const std::vector<endpoint_view>& available, const routed_request& request,
     const config::engine_profile& engine) const {
-  const engine_weighing weighing(open, request, engine, engines_,
-                                 remote_caches_);
+  const engine_evaluator evaluator(available, request, engine, engines_,
+                                   remote_caches_);
   const monotonic_time now = context_.clock.now();
   std::vector<chosen_endpoint> chosen;
   std::vector<routing::engine_candidate> candidates;
-  for (const endpoint_view& it : open) {
-    if (it.load >= it.limit * most_over_limit) continue;
-    weighed_endpoint one = weighing.weigh(it);
-    one.candidate.chance = one.chosen.chance = acceptance_.chance(it.name, now);
+  for (const endpoint_view& it : available) {
+    if (it.load >= it.limit * max_load_factor) continue;
+    evaluated_endpoint one = evaluator.evaluate(it);
+    one.candidate.chance = one.chosen.acceptance_probability =
+        acceptance_.chance(it.name, now);
     chosen.push_back(std::move(one.chosen));
     candidates.push_back(one.candidate);
   }
@@ -180,57 +185,59 @@
   return std::move(chosen[*best]);
 }
 
-std::vector<endpoint_view> endpoint_pool::likely_of(
-    const std::vector<endpoint_view>& open) const {
+std::vector<endpoint_view> endpoint_pool::likely_to_accept(
+    const std::vector<endpoint_view>& available) const {
   const monotonic_time now = context_.clock.now();
   double best = 0;
-  for (const endpoint_view& it : open) {
+  for (const endpoint_view& it : available) {
     best = std::max(best, acceptance_.chance(it.name, now));
   }
   std::vector<endpoint_view> out;
-  for (const endpoint_view& it : open) {
+  for (const endpoint_view& it : available) {
     const double chance = acceptance_.chance(it.name, now);
-    if (chance >= least_share_of_best * best) out.push_back(it);
+    if (chance >= min_acceptance_ratio * best) out.push_back(it);
   }
   return out;
 }
 
-chosen_endpoint endpoint_pool::without_engine(const endpoint_view& view) const {
+chosen_endpoint endpoint_pool::make_chosen(const endpoint_view& view) const {
   chosen_endpoint out;
   out.name = view.name;
   out.address = view.address;
-  out.chance = acceptance_.chance(view.name, context_.clock.now());
+  out.acceptance_probability =
+      acceptance_.chance(view.name, context_.clock.now());
   return out;
 }
 
-std::optional<chosen_endpoint> endpoint_pool::choose_plain(
+std::optional<chosen_endpoint> endpoint_pool::choose_without_engine(
     const std::vector<endpoint_view>& all) const {
-  const std::vector<endpoint_view> open = likely_of(all);
+  const std::vector<endpoint_view> available = likely_to_accept(all);
   const std::optional<endpoint_view> free = routing::choose_endpoint(
-      open, {0, {}, region_gateways()}, context_.random);
-  if (free) return without_engine(*free);
+      available, {0, {}, region_gateway_count()}, context_.random);
+  if (free) return make_chosen(*free);
   const auto least =
-      std::min_element(open.begin(), open.end(),
+      std::min_element(available.begin(), available.end(),
                        [](const endpoint_view& a, const endpoint_view& b) {
                          return a.load / a.limit < b.load / b.limit;
                        });
-  if (least == open.end() || least->load >= least->limit * most_over_limit) {
+  if (least == available.end() ||
+      least->load >= least->limit * max_load_factor) {
     return std::nullopt;
   }
-  return without_engine(*least);
+  return make_chosen(*least);
 }
 
 result<chosen_endpoint> endpoint_pool::choose(
     const routed_request& request) const {
-  const config::planned_service* service = planned(request.service);
-  std::vector<endpoint_view> open;
+  const config::planned_service* service = find_planned(request.service);
+  std::vector<endpoint_view> available;
   for (endpoint_view& it :
        context_.endpoints.views(request.service, context_.clock.now())) {
     const bool free =
-        takes_requests(it, service) && !request.avoid.contains(it.name);
-    if (free) open.push_back(std::move(it));
+        accepts_requests(it, service) && !request.avoid.contains(it.name);
+    if (free) available.push_back(std::move(it));
   }
-  if (open.empty()) {
+  if (available.empty()) {
     return fail(error_kind::unavailable,
                 "no endpoint of " + request.service + " in " +
                     context_.self.region + " accepts requests",
@@ -238,8 +245,8 @@
   }
   const bool engine = service != nullptr && service->engine.has_value();
   const std::optional<chosen_endpoint> chosen =
-      engine ? choose_engine(open, request, *service->engine)
-             : choose_plain(open);
+      engine ? choose_engine(available, request, *service->engine)
+             : choose_without_engine(available);
   if (chosen) return *chosen;
   return fail(error_kind::overloaded,
               "every endpoint of " + request.service + " in " +
@@ -250,21 +257,22 @@
 membership::service_load endpoint_pool::load_of(
     const std::string& service) const {
   membership::service_load out;
-  const config::planned_service* known = planned(service);
+  const config::planned_service* known = find_planned(service);
   const bool engine = known != nullptr && known->engine.has_value();
-  routing::engine_work probe;
-  probe.priority = least_urgent;
+  routing::engine_work reference;
+  reference.priority = lowest_priority;
   milliseconds wait{0};
   milliseconds interval{0};
   for (const endpoint_view& it :
        context_.endpoints.views(service, context_.clock.now())) {
     out.in_flight += it.own_in_flight;
-    const bool open =
-        takes_requests(it, known) && it.load < it.limit * most_over_limit;
-    if (!open) continue;
+    const bool available =
+        accepts_requests(it, known) && it.load < it.limit * max_load_factor;
+    if (!available) continue;
     ++out.endpoints;
     if (!engine) continue;
-    wait += expected_at(it, probe, 0, *known->engine, engines_).wait;
+    wait +=
+        estimate_completion(it, reference, 0, *known->engine, engines_).wait;
     interval += engines_.event_interval(it.name);
   }
   // The mean rather than the minimum, since many gateways act on this value
@@ -282,29 +290,29 @@
   return {out.begin(), out.end()};
 }
 
-void endpoint_pool::observe(const std::string& endpoint,
-                            const surface::endpoint_answer& answer) {
+void endpoint_pool::record_answer(const std::string& endpoint,
+                                  const surface::endpoint_answer& answer) {
   const monotonic_time now = context_.clock.now();
   if (answer.cold_left) {
     warmth_.told(endpoint, *answer.cold_left, routing::warmth_source::answer,
                  now);
   }
   monotonic_time& last = observed_at_[endpoint];
-  if (!answer.load || now < last + report_interval) return;
+  if (!answer.load || now < last + min_report_interval) return;
   last = now;
   context_.endpoints.report(
       endpoint, {answer.load->running, answer.load->waiting, now, 0});
 }
 
-void endpoint_pool::note_taken(const std::string& endpoint) {
+void endpoint_pool::record_accepted(const std::string& endpoint) {
   acceptance_.taken(endpoint, context_.clock.now());
 }
 
-void endpoint_pool::note_rejected(const std::string& endpoint) {
+void endpoint_pool::record_rejected(const std::string& endpoint) {
   acceptance_.rejected(endpoint, context_.clock.now());
 }
 
-void endpoint_pool::vanished(const std::string& endpoint) {
+void endpoint_pool::remove_endpoint(const std::string& endpoint) {
   log_event(log_level::info, "endpoint-vanished", {{"endpoint", endpoint}});
   std::erase_if(listed_, [&endpoint](const surface::listed_endpoint& it) {
     return it.identity.name() == endpoint;
@@ -312,20 +320,20 @@
   refresh();
 }
 
-void endpoint_pool::note_sent(const std::string& endpoint) {
-  const auto found = places_.find(endpoint);
-  if (found == places_.end()) return;
+void endpoint_pool::record_sent(const std::string& endpoint) {
+  const auto found = locations_.find(endpoint);
+  if (found == locations_.end()) return;
   const monotonic_time now = context_.clock.now();
-  const config::planned_service* service = planned(found->second.service);
+  const config::planned_service* service = find_planned(found->second.service);
   if (!may_be_cold(endpoint, found->second.zone, service, now)) return;
   cold_.sent(endpoint, now);
   log_event(log_level::info, "cold-endpoint-used",
             {{"endpoint", endpoint},
-             {"gateways", std::to_string(region_gateways())}});
+             {"gateways", std::to_string(region_gateway_count())}});
 }
 
 void endpoint_pool::tick() {
-  cold_.forget(context_.clock.now() - cold_memory);
+  cold_.forget(context_.clock.now() - cold_send_retention);
 }
 
 }  // namespace trestlepost::gateway
--- a/gateway/src/engine_evaluator.cc
+++ b/gateway/src/engine_evaluator.cc
@@ -12,18 +12,18 @@
 
 // Copying fewer tokens than this costs more than processing them, which takes a
 // few milliseconds.
-constexpr std::uint32_t least_copied = 256;
+constexpr std::uint32_t min_copied_tokens = 256;
 // Copying from another region adds a round trip of about 100 ms, in which an
 // engine processes more tokens than this.
-constexpr std::uint32_t least_copied_far = 2048;
+constexpr std::uint32_t min_remote_copied_tokens = 2048;
 // Probability that a copy finds the tokens. The source may have evicted them;
 // in another region, only the endpoint preferred by its gateways is known.
-constexpr double copy_works = 0.9;
-constexpr double remote_copy_works = 0.5;
+constexpr double copy_hit_probability = 0.9;
+constexpr double remote_copy_hit_probability = 0.5;
 // Probability that the endpoint preferred by all gateways has not cached a
 // section when no endpoint is known to have it. Another gateway may have just
 // sent the section there.
-constexpr double preferred_lacks_section = 0.5;
+constexpr double preferred_miss_probability = 0.5;
 
 /// Returns the section that groups requests by endpoint: the last one shared
 /// with other requests.
@@ -41,65 +41,74 @@
 
 }  // namespace
 
-routing::outlook expected_at(const endpoint_view& view,
-                             const routing::engine_work& work,
-                             std::uint32_t tokens,
-                             const config::engine_profile& engine,
-                             const routing::engine_book& engines) {
+routing::outlook estimate_completion(const endpoint_view& view,
+                                     const routing::engine_work& work,
+                                     std::uint32_t tokens,
+                                     const config::engine_profile& engine,
+                                     const routing::engine_book& engines) {
   return routing::delayed(engines.predict(view.name, work, tokens, view.load),
                           routing::slot_wait(view.load, engine.batch_slots,
                                              engines.mean_hold(view.service)));
 }
 
-engine_weighing::engine_weighing(const std::vector<endpoint_view>& open,
-                                 const routed_request& request,
-                                 const config::engine_profile& engine,
-                                 const routing::engine_book& engines,
-                                 const remote_caches& remote)
+engine_evaluator::engine_evaluator(const std::vector<endpoint_view>& available,
+                                   const routed_request& request,
+                                   const config::engine_profile& engine,
+                                   const routing::engine_book& engines,
+                                   const remote_caches& remote)
     : work_(request.work), engine_(engine), engines_(engines) {
   const routing::prompt_section* shared = shared_section(work_);
   if (shared == nullptr) return;
-  find_holder(open);
-  if (holder_lacks_ < least_copied) return;
+  find_best_cached(available);
+  if (best_uncached_tokens_ < min_copied_tokens) return;
   preferred_ = preferred_for(
-      open, *shared,
+      available, *shared,
       [](const endpoint_view& it) -> const std::string& { return it.name; });
-  if (holder_lacks_ < least_copied_far) return;
-  remote_address_ =
-      remote.likely_holder(request.service, *shared, *request.route);
+  if (best_uncached_tokens_ < min_remote_copied_tokens) return;
+  remote_source_address_ =
+      remote.likely_source(request.service, *shared, *request.route);
 }
 
-void engine_weighing::find_holder(const std::vector<endpoint_view>& open) {
-  for (const endpoint_view& it : open) {
-    const std::uint32_t lacks = engines_.uncached(it.name, work_).shared;
-    const bool better = holder_ == nullptr || lacks < holder_lacks_ ||
-                        (lacks == holder_lacks_ && it.load < holder_->load);
+void engine_evaluator::find_best_cached(
+    const std::vector<endpoint_view>& available) {
+  for (const endpoint_view& it : available) {
+    const std::uint32_t uncached_tokens =
+        engines_.uncached(it.name, work_).shared;
+    const bool better = best_cached_ == nullptr ||
+                        uncached_tokens < best_uncached_tokens_ ||
+                        (uncached_tokens == best_uncached_tokens_ &&
+                         it.load < best_cached_->load);
     if (!better) continue;
-    holder_ = &it;
-    holder_lacks_ = lacks;
+    best_cached_ = &it;
+    best_uncached_tokens_ = uncached_tokens;
   }
 }
 
-weighed_endpoint engine_weighing::weigh(const endpoint_view& view) const {
-  const routing::uncached_prompt lacks = engines_.uncached(view.name, work_);
-  weighed_endpoint out;
+evaluated_endpoint engine_evaluator::evaluate(const endpoint_view& view) const {
+  const routing::uncached_prompt uncached_tokens =
+      engines_.uncached(view.name, work_);
+  evaluated_endpoint out;
   out.chosen.name = view.name;
   out.chosen.address = view.address;
   std::uint32_t copied = 0;
-  if (engine_.moves && lacks.shared >= holder_lacks_ + least_copied) {
-    out.chosen.copy_cache_from = holder_->address;
-    copied = share_of_tokens(lacks.shared - holder_lacks_, copy_works);
-  } else if (engine_.moves && !remote_address_.empty()) {
-    out.chosen.copy_cache_from = remote_address_;
-    copied = share_of_tokens(lacks.shared, remote_copy_works);
+  if (engine_.moves &&
+      uncached_tokens.shared >= best_uncached_tokens_ + min_copied_tokens) {
+    out.chosen.copy_cache_from = best_cached_->address;
+    copied = share_of_tokens(uncached_tokens.shared - best_uncached_tokens_,
+                             copy_hit_probability);
+  } else if (engine_.moves && !remote_source_address_.empty()) {
+    out.chosen.copy_cache_from = remote_source_address_;
+    copied =
+        share_of_tokens(uncached_tokens.shared, remote_copy_hit_probability);
   }
-  const std::uint32_t read = lacks.shared - copied;
-  out.chosen.read_tokens = lacks.own + read;
-  out.chosen.expected =
-      expected_at(view, work_, out.chosen.read_tokens, engine_, engines_);
+  const std::uint32_t prefill = uncached_tokens.shared - copied;
+  out.chosen.prefill_tokens = uncached_tokens.own + prefill;
+  out.chosen.expected = estimate_completion(
+      view, work_, out.chosen.prefill_tokens, engine_, engines_);
   const double prompt = std::max(1U, work_.prompt_tokens);
-  const double unread = &view == preferred_ ? preferred_lacks_section : 1;
-  out.candidate = {out.chosen.expected, unread * read / prompt,
+  const double miss_probability =
+      &view == preferred_ ? preferred_miss_probability : 1;
+  out.candidate = {out.chosen.expected, miss_probability * prefill / prompt,
                    copied / prompt};
   return out;
 }
--- a/gateway/src/entry_handler.cc
+++ b/gateway/src/entry_handler.cc
@@ -16,7 +16,7 @@
 using transport::http_exchange;
 
 /// Returns whether an attempt at another endpoint or region may succeed.
-bool worth_another_attempt(error_kind kind) {
+bool is_retryable(error_kind kind) {
   return kind == error_kind::unavailable || kind == error_kind::overloaded ||
          kind == error_kind::endpoint_failed || kind == error_kind::isolated ||
          kind == error_kind::draining ||
@@ -38,11 +38,11 @@
     co_await answer_call(exchange, std::move(*call));
     co_return;
   }
-  http_answer answer = answer_about_node(exchange);
+  http_answer answer = answer_node_query(exchange);
   co_await exchange.respond(std::move(answer));
 }
 
-http_answer entry_handler::answer_about_node(
+http_answer entry_handler::answer_node_query(
     const http_exchange& exchange) const {
   const std::string_view method = exchange.method();
   const std::string_view target = exchange.target();
@@ -71,10 +71,10 @@
   if (query.near_zone.empty()) {
     query.near_zone = context_.self.availability_zone;
   }
-  const result<config::label_map> asked =
+  const result<config::label_map> requested =
       entries_.read_labels(exchange.target());
-  if (!asked) {
-    http_answer refused = entries_.refuse(asked.error());
+  if (!requested) {
+    http_answer refused = entries_.refuse(requested.error());
     // The header is part of the interface, although no request id applies here.
     refused.headers.emplace_back("X-Request-Id", "");
     return refused;
@@ -86,7 +86,7 @@
   if (caller) {
     for (const auto& [name, it] : context_.store.regions()) {
       const bool refused = routing::transit_may_be_refused(
-          routing::inputs_of(context_.store), **caller, *asked, name);
+          routing::inputs_of(context_.store), **caller, *requested, name);
       if (!refused) query.allowed_regions.push_back(name);
     }
   }
@@ -134,9 +134,9 @@
   return tl::make_unexpected(transit_error(placed.permitted));
 }
 
-result<void> entry_handler::check_early(const config::caller& caller,
-                                        const own::call_target& target,
-                                        const config::label_map& labels) const {
+result<void> entry_handler::check_before_body(
+    const config::caller& caller, const own::call_target& target,
+    const config::label_map& labels) const {
   const routing::placement_inputs inputs = routing::inputs_of(context_.store);
   if (!target.service.empty()) {
     const std::shared_ptr<const config::service> service =
@@ -184,7 +184,8 @@
   if (!options) co_return refused(options.error());
   result<surface::call_head> head = callers_.read_head(exchange);
   if (!head) co_return refused(head.error());
-  const result<void> early = check_early(**caller, target, options->labels);
+  const result<void> early =
+      check_before_body(**caller, target, options->labels);
   if (!early) co_return refused(early.error());
   result<std::string> body = co_await exchange.read_body();
   if (!body) co_return refused(body.error());
@@ -243,10 +244,10 @@
 
 bool entry_handler::may_retry(const incoming_request& request,
                               const attempt& last, unsigned attempts) {
-  if (attempts >= context_.options.most_attempts) return false;
+  if (attempts >= context_.options.max_attempts) return false;
   const bool safe = last.ran == run_state::no ||
                     (last.ran == run_state::unknown && request.repeatable);
-  if (!safe || !worth_another_attempt(last.cause.kind)) return false;
+  if (!safe || !is_retryable(last.cause.kind)) return false;
   if (context_.clock.now() >= request.deadline) return false;
   return retries_.take();
 }
@@ -269,14 +270,14 @@
        "send it again after Retry-After; `trestlepost explain` shows why"},
       seconds(2));
   for (unsigned attempts = 1;; ++attempts) {
-    const routing::region_request asked{context_.self.region,
-                                        context_.state.crosses_regions(),
-                                        request.runs_once(), sequence_++};
+    const routing::region_request requested{context_.self.region,
+                                            context_.state.crosses_regions(),
+                                            request.runs_once(), sequence_++};
     const std::vector<routing::region_candidate> ranked =
         routing::rank_regions(*placed,
                               region_views(context_, local_.queue(),
                                            request.service->name, exhausted),
-                              asked, context_.options.region_choice);
+                              requested, context_.options.region_choice);
     if (ranked.empty() || !ranked.front().eligible) co_return last;
     const std::string region = ranked.front().region;
     if (region == context_.self.region) {
--- a/gateway/src/event_scanner.cc
+++ b/gateway/src/event_scanner.cc
@@ -25,7 +25,7 @@
       return "an event exceeds the buffer limit";
     case stream_fault::unreadable:
       return "a line ends with CR alone";
-    case stream_fault::not_rising:
+    case stream_fault::non_increasing_id:
       return "the continuation does not follow the last event";
     case stream_fault::none:
       break;
@@ -33,76 +33,79 @@
   return "";
 }
 
-scanned_events event_scanner::push(std::string piece) {
-  scanned_events out;
-  if (pass_all_) {
-    out.passable = std::move(piece);
+scan_result event_scanner::push(std::string piece) {
+  scan_result out;
+  if (pass_through_) {
+    out.output = std::move(piece);
     return out;
   }
-  take_in(std::move(piece));
-  std::size_t whole = 0;  // end of the last complete event
-  std::size_t end = held_.find('\n', searched_);
+  append(std::move(piece));
+  std::size_t complete_size = 0;  // end of the last complete event
+  std::size_t end = buffer_.find('\n', search_start_);
   while (end != std::string::npos && out.fault == stream_fault::none) {
-    out.fault = take_line(end);
-    if (out.fault == stream_fault::none && !inside_event_) whole = line_;
-    end = held_.find('\n', searched_);
+    out.fault = parse_line(end);
+    if (out.fault == stream_fault::none && !inside_event_)
+      complete_size = line_start_;
+    end = buffer_.find('\n', search_start_);
   }
-  if (out.fault == stream_fault::none) out.fault = check_rest(whole);
-  out.passable = cut_off(whole);
-  if (out.fault != stream_fault::none && !continued_) pass_all(out);
+  if (out.fault == stream_fault::none)
+    out.fault = check_incomplete(complete_size);
+  out.output = take_prefix(complete_size);
+  if (out.fault != stream_fault::none && !continued_) start_pass_through(out);
   return out;
 }
 
-scanned_events event_scanner::finish() {
-  scanned_events out;
-  if (held_.empty()) return out;
-  std::string_view line = std::string_view(held_).substr(line_);
+scan_result event_scanner::finish() {
+  scan_result out;
+  if (buffer_.empty()) return out;
+  std::string_view line = std::string_view(buffer_).substr(line_start_);
   if (line.ends_with('\r')) line.remove_suffix(1);
-  if (!line.empty()) take_field(line);
+  if (!line.empty()) parse_field(line);
   out.fault = end_event();
-  if (out.fault == stream_fault::none) out.passable = std::move(held_);
-  forget_event();
+  if (out.fault == stream_fault::none) out.output = std::move(buffer_);
+  reset_event();
   return out;
 }
 
-void event_scanner::continue_elsewhere() {
-  forget_event();
+void event_scanner::start_continuation() {
+  reset_event();
   continued_ = true;
   awaits_first_event_ = true;
 }
 
-void event_scanner::forget_event() {
-  held_.clear();
-  line_ = 0;
-  searched_ = 0;
+void event_scanner::reset_event() {
+  buffer_.clear();
+  line_start_ = 0;
+  search_start_ = 0;
   inside_event_ = false;
   has_field_ = false;
   id_.reset();
   id_text_.clear();
 }
 
-void event_scanner::take_in(std::string piece) {
-  if (held_.empty()) {
-    held_ = std::move(piece);
+void event_scanner::append(std::string piece) {
+  if (buffer_.empty()) {
+    buffer_ = std::move(piece);
   } else {
-    held_ += piece;
+    buffer_ += piece;
   }
 }
 
-stream_fault event_scanner::take_line(std::size_t end) {
-  std::string_view line = std::string_view(held_).substr(line_, end - line_);
-  line_ = end + 1;
-  searched_ = line_;
+stream_fault event_scanner::parse_line(std::size_t end) {
+  std::string_view line =
+      std::string_view(buffer_).substr(line_start_, end - line_start_);
+  line_start_ = end + 1;
+  search_start_ = line_start_;
   if (line.ends_with('\r')) line.remove_suffix(1);
   if (line.empty()) return end_event();
   if (line.find('\r') != std::string_view::npos) {
     return stream_fault::unreadable;
   }
-  take_field(line);
+  parse_field(line);
   return stream_fault::none;
 }
 
-void event_scanner::take_field(std::string_view line) {
+void event_scanner::parse_field(std::string_view line) {
   inside_event_ = true;
   if (line.front() == ':') return;
   has_field_ = true;
@@ -120,10 +123,10 @@
   const std::optional<std::uint64_t> id = std::exchange(id_, std::nullopt);
   inside_event_ = false;
   if (!event) return stream_fault::none;
-  const bool rises = id && (!last_id_ || *id > *last_id_);
-  if (!rises) {
+  const bool increases = id && (!last_id_ || *id > *last_id_);
+  if (!increases) {
     const bool repeated = continued_ && id.has_value();
-    if (repeated || awaits_first_event_) return stream_fault::not_rising;
+    if (repeated || awaits_first_event_) return stream_fault::non_increasing_id;
     resume_point_.clear();
     return stream_fault::none;
   }
@@ -133,29 +136,30 @@
   return stream_fault::none;
 }
 
-stream_fault event_scanner::check_rest(std::size_t whole) {
+stream_fault event_scanner::check_incomplete(std::size_t complete_size) {
   // No LF follows, so a CR before the last byte stands alone.
-  const std::size_t cr = held_.find('\r', searched_);
-  const bool at_end = cr != std::string::npos && cr + 1 == held_.size();
+  const std::size_t cr = buffer_.find('\r', search_start_);
+  const bool at_end = cr != std::string::npos && cr + 1 == buffer_.size();
   if (cr != std::string::npos && !at_end) return stream_fault::unreadable;
-  searched_ = at_end ? cr : held_.size();
-  const bool fits = held_.size() - whole <= largest_event_;
+  search_start_ = at_end ? cr : buffer_.size();
+  const bool fits = buffer_.size() - complete_size <= max_event_bytes_;
   return fits ? stream_fault::none : stream_fault::too_large;
 }
 
-std::string event_scanner::cut_off(std::size_t whole) {
-  line_ -= whole;
-  searched_ -= whole;
-  if (whole == held_.size()) return std::exchange(held_, std::string());
-  std::string out = held_.substr(0, whole);
-  held_.erase(0, whole);
+std::string event_scanner::take_prefix(std::size_t complete_size) {
+  line_start_ -= complete_size;
+  search_start_ -= complete_size;
+  if (complete_size == buffer_.size())
+    return std::exchange(buffer_, std::string());
+  std::string out = buffer_.substr(0, complete_size);
+  buffer_.erase(0, complete_size);
   return out;
 }
 
-void event_scanner::pass_all(scanned_events& out) {
-  out.passable += held_;
-  forget_event();
-  pass_all_ = true;
+void event_scanner::start_pass_through(scan_result& out) {
+  out.output += buffer_;
+  reset_event();
+  pass_through_ = true;
   resume_point_.clear();
 }
 
--- a/gateway/src/forwarder.cc
+++ b/gateway/src/forwarder.cc
@@ -14,9 +14,9 @@
 using transport::awaitable;
 using transport::http_exchange;
 
-constexpr std::size_t largest_refusal = 64UL * 1024;
+constexpr std::size_t max_refusal_bytes = 64UL * 1024;
 
-std::uint32_t busyness(const node_record& it, const std::string& service) {
+std::uint32_t gateway_load(const node_record& it, const std::string& service) {
   const auto found = it.last.services.find(service);
   if (found == it.last.services.end()) return 0;
   return found->second.in_flight + found->second.queued;
@@ -64,14 +64,14 @@
 
 const node_record* forwarder::choose_gateway(const std::string& region) {
   const monotonic_time now = context_.clock.now();
-  std::vector<const node_record*> open;
+  std::vector<const node_record*> candidates;
   for (const node_record* it : context_.nodes.live_in(region, now)) {
-    const bool takes = it->last.state == membership::node_states::ready &&
-                       !it->last.node.forward_address.empty();
-    if (takes) open.push_back(it);
+    const bool accepts = it->last.state == membership::node_states::ready &&
+                         !it->last.node.forward_address.empty();
+    if (accepts) candidates.push_back(it);
   }
-  if (open.empty()) return nullptr;
-  return open[context_.random.below(open.size())];
+  if (candidates.empty()) return nullptr;
+  return candidates[context_.random.below(candidates.size())];
 }
 
 awaitable<attempt> forwarder::serve(const incoming_request& request,
@@ -89,7 +89,7 @@
         std::chrono::seconds(2));
   }
   const bool second_is_better =
-      busyness(*second, service) < busyness(*first, service);
+      gateway_load(*second, service) < gateway_load(*first, service);
   const std::string address =
       (second_is_better ? second : first)->last.node.forward_address;
   const std::string head =
@@ -112,7 +112,8 @@
     co_return failed_attempt(ran, sent.error().cause, std::chrono::seconds(1));
   }
   if (!call->header(refused_header).empty()) {
-    const result<std::string> body = co_await call->read_rest(largest_refusal);
+    const result<std::string> body =
+        co_await call->read_rest(max_refusal_bytes);
     co_return read_refusal(body ? *body : "{}", call->header("Retry-After"));
   }
   transport::header_list headers =
--- a/gateway/src/local_service.cc
+++ b/gateway/src/local_service.cc
@@ -126,7 +126,7 @@
   }
   const std::string attempt_id = context_.ledger.make_attempt_id();
   std::optional<attempt> stopped =
-      co_await fence_former(request, attempt_id, exchange);
+      co_await fence_former_homes(request, attempt_id, exchange);
   if (stopped) co_return std::move(*stopped);
   stopped = co_await claim(request, attempt_id, exchange);
   if (stopped) co_return std::move(*stopped);
@@ -136,7 +136,7 @@
   co_return delivered.outcome;
 }
 
-awaitable<std::optional<attempt>> local_service::fence_former(
+awaitable<std::optional<attempt>> local_service::fence_former_homes(
     const incoming_request& request, const std::string& attempt_id,
     http_exchange& exchange) {
   const std::vector<std::string> former = routing::former_homes(
@@ -159,18 +159,18 @@
            "wait for the service's key_window after the change of rules"},
           seconds(60));
     }
-    ledger::fence_command asked;
-    asked.key = ledger::record_key(request.caller->name, request.service->name,
-                                   request.idempotency_key);
-    asked.digest = request_digest(request);
-    asked.attempt = attempt_id + "-f" + std::to_string(n++);
-    asked.at = context_.clock.wall_now();
-    asked.window = request.service->key_window;
+    ledger::fence_command command;
+    command.key = ledger::record_key(
+        request.caller->name, request.service->name, request.idempotency_key);
+    command.digest = request_digest(request);
+    command.attempt = attempt_id + "-f" + std::to_string(n++);
+    command.at = context_.clock.wall_now();
+    command.window = request.service->key_window;
     const monotonic_time until =
         std::min(request.deadline,
                  context_.clock.now() + context_.options.claim_timeout);
     const result<ledger::claim_decision> decided =
-        co_await context_.ledger.fence(region, asked, until);
+        co_await context_.ledger.fence(region, command, until);
     if (!decided) {
       co_return failed_attempt(run_state::no, decided.error(), seconds(2));
     }
@@ -184,21 +184,21 @@
     const incoming_request& request, const std::string& attempt_id,
     http_exchange& exchange) {
   const monotonic_time now = context_.clock.now();
-  ledger::claim_command asked;
-  asked.key = ledger::record_key(request.caller->name, request.service->name,
-                                 request.idempotency_key);
-  asked.digest = request_digest(request);
-  asked.attempt = attempt_id;
-  asked.at = context_.clock.wall_now();
-  asked.deadline =
-      asked.at +
+  ledger::claim_command command;
+  command.key = ledger::record_key(request.caller->name, request.service->name,
+                                   request.idempotency_key);
+  command.digest = request_digest(request);
+  command.attempt = attempt_id;
+  command.at = context_.clock.wall_now();
+  command.deadline =
+      command.at +
       std::chrono::duration_cast<milliseconds>(request.deadline - now) +
       claim_grace;
-  asked.window = request.service->key_window;
+  command.window = request.service->key_window;
   const monotonic_time until =
       std::min(request.deadline, now + context_.options.claim_timeout);
   const result<ledger::claim_decision> decided =
-      co_await context_.ledger.claim(asked, until);
+      co_await context_.ledger.claim(command, until);
   if (!decided) {
     co_return failed_attempt(run_state::no, decided.error(), seconds(2));
   }
@@ -236,23 +236,23 @@
 void local_service::finish(const incoming_request& request,
                            const std::string& attempt_id,
                            const delivery_result& delivered) {
-  ledger::finish_command told;
-  told.key = ledger::record_key(request.caller->name, request.service->name,
-                                request.idempotency_key);
-  told.attempt = attempt_id;
-  told.answer = delivered.answer;
+  ledger::finish_command command;
+  command.key = ledger::record_key(request.caller->name, request.service->name,
+                                   request.idempotency_key);
+  command.attempt = attempt_id;
+  command.answer = delivered.answer;
   switch (delivered.outcome.ran) {
     case run_state::yes:
-      told.outcome = ledger::run_outcome::done;
+      command.outcome = ledger::run_outcome::done;
       break;
     case run_state::no:
-      told.outcome = ledger::run_outcome::not_run;
+      command.outcome = ledger::run_outcome::not_run;
       break;
     case run_state::unknown:
-      told.outcome = ledger::run_outcome::unknown;
+      command.outcome = ledger::run_outcome::unknown;
       break;
   }
-  context_.ledger.finish(told);
+  context_.ledger.finish(command);
 }
 
 delivery_result local_service::send_failed(
@@ -308,22 +308,22 @@
       co_await call->send(std::move(out), request.deadline);
   const run_location at{lease->name(), lease->address(), request.service->name};
   if (!sent) {
-    const bool broke = sent.error().bytes_written && !exchange.gone() &&
-                       is_broken(sent.error().cause);
-    if (broke) crashes_.run_interrupted(fingerprint(request), at);
+    const bool interrupted = sent.error().bytes_written && !exchange.gone() &&
+                             is_connection_loss(sent.error().cause);
+    if (interrupted) crashes_.run_interrupted(fingerprint(request), at);
     co_return send_failed(request, lease->name(), sent.error());
   }
-  const surface::endpoint_answer said = codec.read_head(*call);
-  if (!said.attempt_id.empty() && said.attempt_id != attempt_id) {
+  const surface::endpoint_answer answer = codec.read_head(*call);
+  if (!answer.attempt_id.empty() && answer.attempt_id != attempt_id) {
     call->cancel();
-    transport::call_failure crossed;
-    crossed.cause = {error_kind::endpoint_failed,
-                     "the endpoint answered another request",
-                     "check the endpoint " + lease->name()};
-    crossed.bytes_written = true;
-    co_return send_failed(request, lease->name(), crossed);
+    transport::call_failure wrong_answer;
+    wrong_answer.cause = {error_kind::endpoint_failed,
+                          "the endpoint answered another request",
+                          "check the endpoint " + lease->name()};
+    wrong_answer.bytes_written = true;
+    co_return send_failed(request, lease->name(), wrong_answer);
   }
-  if (said.not_run) {
+  if (answer.not_run) {
     call->cancel();
     context_.endpoints.request_failed(lease->name(), context_.clock.now());
     delivery_result refused;
@@ -345,15 +345,16 @@
   delivery_result delivered = co_await deliver(
       *call, exchange, std::move(headers), std::move(on_first));
   delivered.outcome.endpoint = lease->name();
-  const bool broke = delivered.outcome.connection_lost && !exchange.gone();
-  if (broke) crashes_.run_interrupted(fingerprint(request), at);
+  const bool interrupted =
+      delivered.outcome.connection_lost && !exchange.gone();
+  if (interrupted) crashes_.run_interrupted(fingerprint(request), at);
   if (!delivered.outcome.delivered) {
     if (!exchange.gone()) {
       context_.endpoints.request_failed(lease->name(), context_.clock.now());
     }
     co_return delivered;
   }
-  if (!broke && crashes_.monitors_any()) {
+  if (!interrupted && crashes_.monitors_any()) {
     crashes_.run_completed(fingerprint(request));
   }
   context_.endpoints.request_succeeded(lease->name());
--- a/gateway/src/metrics.cc
+++ b/gateway/src/metrics.cc
@@ -48,9 +48,9 @@
       resumptions_(
           counter(registry, "trestlepost_stream_resumptions_total",
                   "Interrupted streams continued at another endpoint.")),
-      broken_runs_(counter(registry, "trestlepost_runs_broken_total",
-                           "Runs interrupted by a lost connection, by the "
-                           "state of the endpoint.")),
+      interrupted_runs_(counter(registry, "trestlepost_runs_broken_total",
+                                "Runs interrupted by a lost connection, by the "
+                                "state of the endpoint.")),
       forwards_(counter(registry, "trestlepost_forwards_total",
                         "Requests sent to another region.")),
       queue_(gauge(registry, "trestlepost_queue_length",
@@ -93,10 +93,10 @@
   resumptions_.Add({{"service", service}, {"outcome", outcome}}).Increment();
 }
 
-void gateway_metrics::runs_broke(const std::string& service,
-                                 const std::string& endpoint_is,
-                                 std::size_t n) {
-  broken_runs_.Add({{"service", service}, {"endpoint_is", endpoint_is}})
+void gateway_metrics::runs_interrupted(const std::string& service,
+                                       const std::string& endpoint_is,
+                                       std::size_t n) {
+  interrupted_runs_.Add({{"service", service}, {"endpoint_is", endpoint_is}})
       .Increment(static_cast<double>(n));
 }
 
--- a/gateway/src/region_views.cc
+++ b/gateway/src/region_views.cc
@@ -9,11 +9,11 @@
 using routing::region_view;
 using std::chrono::milliseconds;
 
-constexpr milliseconds unknown_round_trip{50};
+constexpr milliseconds default_round_trip{50};
 
-region_view own_view(const gateway_context& context, const admission& own,
-                     const std::string& service) {
-  const membership::service_load load = own.load_of(service);
+region_view local_view(const gateway_context& context, const admission& local,
+                       const std::string& service) {
+  const membership::service_load load = local.load_of(service);
   region_view out;
   out.region = context.self.region;
   out.reachable = true;
@@ -22,12 +22,12 @@
   return out;
 }
 
-region_view other_view(const gateway_context& context,
-                       const std::string& region, const std::string& service) {
+region_view remote_view(const gateway_context& context,
+                        const std::string& region, const std::string& service) {
   region_view out;
   out.region = region;
   const auto measured = context.round_trips.find(region);
-  out.round_trip = measured == context.round_trips.end() ? unknown_round_trip
+  out.round_trip = measured == context.round_trips.end() ? default_round_trip
                                                          : measured->second;
   bool first = true;
   const monotonic_time now = context.clock.now();
@@ -49,15 +49,15 @@
 }  // namespace
 
 std::vector<region_view> region_views(const gateway_context& context,
-                                      const admission& own,
+                                      const admission& local,
                                       const std::string& service,
                                       const std::set<std::string>& exhausted) {
   std::vector<region_view> out;
   for (const auto& [name, it] : context.store.regions()) {
     if (exhausted.contains(name)) continue;
     out.push_back(name == context.self.region
-                      ? own_view(context, own, service)
-                      : other_view(context, name, service));
+                      ? local_view(context, local, service)
+                      : remote_view(context, name, service));
   }
   return out;
 }
--- a/gateway/src/remote_caches.cc
+++ b/gateway/src/remote_caches.cc
@@ -12,7 +12,7 @@
   regions_[service][region].push_back(std::move(added));
 }
 
-std::string remote_caches::likely_holder(
+std::string remote_caches::likely_source(
     const std::string& service, const membership::prompt_section& section,
     const config::route& route) const {
   const auto known = regions_.find(service);
--- a/gateway/src/route_forward_handler.cc
+++ b/gateway/src/route_forward_handler.cc
@@ -15,7 +15,7 @@
 using transport::awaitable;
 using transport::http_exchange;
 
-result<routed_request> behind(const std::string& what) {
+result<routed_request> configuration_behind_error(const std::string& what) {
   return fail(error_kind::configuration_behind, what,
               "send it again after Retry-After");
 }
@@ -24,9 +24,9 @@
 
 result<route_message> route_forward_handler::read_message(
     const http_exchange& exchange, std::string& body) const {
-  const std::string_view told = exchange.header(message_size_header);
+  const std::string_view size_text = exchange.header(message_size_header);
   std::size_t size = 0;
-  std::from_chars(told.data(), told.data() + told.size(), size);
+  std::from_chars(size_text.data(), size_text.data() + size_text.size(), size);
   if (size == 0 || size > body.size()) {
     return fail(error_kind::bad_input, "a forwarded request has no message",
                 "run one version of trestlepostd on all nodes");
@@ -51,11 +51,13 @@
   }
   const config::plan_ptr& plan = routes_.plan();
   if (!plan || plan->number < message.plan) {
-    return behind("this node has an older plan than the sender");
+    return configuration_behind_error(
+        "this node has an older plan than the sender");
   }
   const config::route* route =
       routes_.find(message.head.host, message.head.path());
-  if (route == nullptr) return behind("this node has no route for the request");
+  if (route == nullptr)
+    return configuration_behind_error("this node has no route for the request");
   if (!permits_region(*route, context_.self.region)) {
     return fail(error_kind::not_permitted,
                 "route " + route->name + " does not permit region " +
@@ -78,7 +80,7 @@
 
 awaitable<void> route_forward_handler::handle(http_exchange& exchange) {
   if (exchange.target() != route_target) {
-    co_await others_.handle(exchange);
+    co_await next_.handle(exchange);
     co_return;
   }
   result<std::string> body = co_await exchange.read_body();
@@ -92,13 +94,13 @@
                 : result<routed_request>(tl::make_unexpected(message.error()));
     if (request) {
       const unsigned before = request->sends.count();
-      const std::optional<chosen_endpoint> none_chosen;
-      outcome = co_await service_.serve(*request, none_chosen, exchange);
+      const std::optional<chosen_endpoint> no_endpoint;
+      outcome = co_await service_.serve(*request, no_endpoint, exchange);
       outcome.sends = request->sends.count() - before;
-      service_.end_sends(*request);
+      service_.release_unused_sends(*request);
     } else {
-      outcome =
-          failed_attempt(run_state::no, request.error(), after_wrong_node);
+      outcome = failed_attempt(run_state::no, request.error(),
+                               retry_after_wrong_node);
     }
   }
   if (outcome.delivered || exchange.answered() || exchange.gone()) co_return;
--- a/gateway/src/route_forwarder.cc
+++ b/gateway/src/route_forwarder.cc
@@ -16,14 +16,14 @@
 using std::chrono::milliseconds;
 using transport::awaitable;
 
-constexpr std::size_t largest_refusal = 64UL * 1024;
+constexpr std::size_t max_refusal_bytes = 64UL * 1024;
 
-std::uint32_t busyness(const node_record& it, const std::string& service) {
+std::uint32_t gateway_load(const node_record& it, const std::string& service) {
   const auto found = it.last.services.find(service);
   return found == it.last.services.end() ? 0 : found->second.in_flight;
 }
 
-bool is_own_header(const std::string& name) {
+bool is_gateway_header(const std::string& name) {
   return name.starts_with("Trestlepost-");
 }
 
@@ -33,7 +33,7 @@
                                    const surface::endpoint_codec& codec) {
   transport::http_answer out = answer_head(call, codec);
   std::erase_if(out.headers,
-                [](const auto& it) { return is_own_header(it.first); });
+                [](const auto& it) { return is_gateway_header(it.first); });
   return out;
 }
 
@@ -41,17 +41,17 @@
 
 const node_record* route_forwarder::choose_gateway(const std::string& region,
                                                    const std::string& service) {
-  std::vector<const node_record*> open;
+  std::vector<const node_record*> candidates;
   for (const node_record* it :
        context_.nodes.live_in(region, context_.clock.now())) {
-    const bool takes = it->last.state == membership::node_states::ready &&
-                       !it->last.node.forward_address.empty();
-    if (takes) open.push_back(it);
+    const bool accepts = it->last.state == membership::node_states::ready &&
+                         !it->last.node.forward_address.empty();
+    if (accepts) candidates.push_back(it);
   }
-  if (open.empty()) return nullptr;
-  const node_record* a = open[context_.random.below(open.size())];
-  const node_record* b = open[context_.random.below(open.size())];
-  return busyness(*b, service) < busyness(*a, service) ? b : a;
+  if (candidates.empty()) return nullptr;
+  const node_record* a = candidates[context_.random.below(candidates.size())];
+  const node_record* b = candidates[context_.random.below(candidates.size())];
+  return gateway_load(*b, service) < gateway_load(*a, service) ? b : a;
 }
 
 std::uint32_t route_forwarder::unanswered_tokens(
@@ -69,8 +69,8 @@
   if (outcome.delivered) acceptance_.taken(place, context_.clock.now());
 }
 
-double route_forwarder::chance(const std::string& region,
-                               const std::string& service) const {
+double route_forwarder::acceptance_probability(
+    const std::string& region, const std::string& service) const {
   return acceptance_.chance(region + "/" + service, context_.clock.now());
 }
 
@@ -105,7 +105,7 @@
         run_state::no,
         {error_kind::unavailable, "no gateway of " + region + " is reachable",
          "send it again after Retry-After"},
-        after_wrong_node);
+        retry_after_wrong_node);
   }
   const std::shared_ptr<transport::http_call> call =
       context_.client.call(gateway->last.node.forward_address);
@@ -121,10 +121,11 @@
   if (!sent) {
     const bool written = sent.error().bytes_written;
     outcome = failed_attempt(written ? run_state::unknown : run_state::no,
-                             sent.error().cause, after_wrong_node);
+                             sent.error().cause, retry_after_wrong_node);
     outcome.sends = written ? 1 : 0;
   } else if (!call->header(refused_header).empty()) {
-    const result<std::string> body = co_await call->read_rest(largest_refusal);
+    const result<std::string> body =
+        co_await call->read_rest(max_refusal_bytes);
     outcome = read_refusal(body ? *body : "{}");
   } else {
     outcome = co_await pass_back(request, *call, exchange);
@@ -143,7 +144,7 @@
   transport::http_answer head = caller_head(call, *surfaces_.endpoints);
   const bool streamed = request.route->kind == config::route_kind::stream;
   if (!streamed) {
-    result<std::string> body = co_await call.read_rest(largest_plain_answer);
+    result<std::string> body = co_await call.read_rest(max_plain_answer_bytes);
     if (!body) {
       out.cause = body.error();
       co_return out;
@@ -163,14 +164,14 @@
   out.ran = run_state::yes;
   const std::function<void()> on_next = [] {};
   std::string first = std::move(*piece);
-  const passed_stream passed = co_await pass_stream(
+  const relayed_stream relayed = co_await relay_stream(
       call, exchange, std::move(head), std::move(first), on_next);
-  if (passed.caller_left) {
+  if (relayed.caller_disconnected) {
     out.cause = {error_kind::bad_input, "the caller disconnected", ""};
     co_return out;
   }
-  if (passed.broken) {
-    out.cause = *passed.broken;
+  if (relayed.interruption) {
+    out.cause = *relayed.interruption;
     co_return out;
   }
   co_await exchange.finish_stream();
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -17,28 +17,29 @@
 using transport::http_exchange;
 
 // Maximum number of regions tried for one request.
-constexpr std::size_t most_regions = 3;
+constexpr std::size_t max_regions = 3;
 
 // A request that arrives before the node has received its plan, its endpoints
 // or the confirmation that the plan is current waits up to this long. A refusal
 // would certainly make it late, and most callers retry only once.
-constexpr milliseconds longest_wait_to_learn{1000};
-constexpr milliseconds learning_check_interval{20};
+constexpr milliseconds max_startup_wait{1000};
+constexpr milliseconds startup_check_interval{20};
 
-error unavailable(const std::string& what) {
-  return {error_kind::unavailable, what, "send it again after Retry-After"};
+error unavailable_error(const std::string& what) {
+  return {error_kind::unavailable_error, what,
+          "send it again after Retry-After"};
 }
 
 }  // namespace
 
-awaitable<bool> route_handler::wait_to_learn(monotonic_time arrived,
-                                             http_exchange& exchange) {
+awaitable<bool> route_handler::wait_for_startup(monotonic_time arrived,
+                                                http_exchange& exchange) {
   const monotonic_time now = context_.clock.now();
-  const bool waits = context_.state.is_learning(now) && taking_ &&
-                     now < arrived + longest_wait_to_learn && !exchange.gone();
+  const bool waits = context_.state.is_learning(now) && accepting_ &&
+                     now < arrived + max_startup_wait && !exchange.gone();
   if (!waits) co_return false;
   transport::timer timer(context_.io);
-  timer.expires_after(learning_check_interval);
+  timer.expires_after(startup_check_interval);
   boost::system::error_code ec;
   co_await timer.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, ec));
@@ -66,9 +67,9 @@
                                             monotonic_time arrived) const {
   const config::plan_ptr& plan = routes_.plan();
   if (!plan) {
-    return tl::make_unexpected(unavailable("this node has no plan yet"));
+    return tl::make_unexpected(unavailable_error("this node has no plan yet"));
   }
-  if (!taking_) {
+  if (!accepting_) {
     return fail(error_kind::draining, "this node is stopping",
                 "use another node");
   }
@@ -100,16 +101,16 @@
   // After a stall, the backlog is read in arbitrary order. A request may be
   // read before the change that forbids a destination for it.
   while (!routes_.plan() || context_.state.is_behind(context_.clock.now())) {
-    const bool again = co_await wait_to_learn(arrived, exchange);
-    if (!again) break;
+    const bool waited = co_await wait_for_startup(arrived, exchange);
+    if (!waited) break;
   }
   result<routed_request> request =
       route(std::move(head), std::move(body), arrived);
   if (!request) {
-    const milliseconds come_back =
-        routes_.plan() ? after_wrong_node : after_no_plan;
+    const milliseconds retry_after =
+        routes_.plan() ? retry_after_wrong_node : retry_after_no_plan;
     const attempt refused =
-        failed_attempt(run_state::no, request.error(), come_back);
+        failed_attempt(run_state::no, request.error(), retry_after);
     context_.metrics.request_done(
         "none", std::string(to_string(refused.cause.kind)), milliseconds(0));
     log_event(log_level::info, "request-refused",
@@ -117,22 +118,23 @@
     co_await refuse(refused, id, exchange);
     co_return;
   }
-  own_.request_seen(request->service);
+  local_.request_seen(request->service);
   attempt outcome = co_await run(*request, exchange);
-  own_.end_sends(*request);
+  local_.release_unused_sends(*request);
   record(*request, outcome);
   if (outcome.delivered || exchange.answered() || exchange.gone()) co_return;
   if (outcome.endpoint_answer) {
-    transport::http_answer kept = std::move(*outcome.endpoint_answer);
-    co_await exchange.respond(std::move(kept));
+    transport::http_answer last_endpoint_answer =
+        std::move(*outcome.endpoint_answer);
+    co_await exchange.respond(std::move(last_endpoint_answer));
     co_return;
   }
   co_await refuse(outcome, id, exchange);
 }
 
-bool route_handler::may_go_elsewhere(routed_request& request,
-                                     const attempt& last) const {
-  if (own_.spends_no_more(request, last)) return false;
+bool route_handler::may_try_other_region(routed_request& request,
+                                         const attempt& last) const {
+  if (local_.must_stop_retrying(request, last)) return false;
   if (request.sends.count() >= request.route->attempts) return false;
   if (context_.clock.now() >= request.deadline) return false;
   return last.ran == run_state::no || request.route->may_repeat();
@@ -141,32 +143,34 @@
 awaitable<attempt> route_handler::run(routed_request& request,
                                       http_exchange& exchange) {
   std::set<std::string> exhausted;
-  attempt last = failed_attempt(
-      run_state::no,
-      unavailable("no permitted region can serve " + request.service + " now"),
-      after_none_open);
+  attempt last =
+      failed_attempt(run_state::no,
+                     unavailable_error("no permitted region can serve " +
+                                       request.service + " now"),
+                     retry_after_unavailable);
   bool may_have_run = false;
-  std::optional<transport::http_answer> kept;
-  while (exhausted.size() < most_regions) {
-    std::optional<attempt> refusal = own_.held(request);
+  std::optional<transport::http_answer> last_endpoint_answer;
+  while (exhausted.size() < max_regions) {
+    std::optional<attempt> refusal = local_.hold_refusal(request);
     if (refusal) {
       if (request.sends.count() == 0) last = std::move(*refusal);
       break;
     }
     const std::optional<region_decision> chosen =
-        choose_region(context_, own_.pool(), remote_, request, exhausted);
+        choose_region(context_, local_.pool(), remote_, request, exhausted);
     if (!chosen) {
       const bool untried = exhausted.empty() && request.sends.count() == 0;
-      bool again = false;
-      if (untried) again = co_await wait_to_learn(request.arrived, exchange);
-      if (again) continue;
+      bool waited = false;
+      if (untried)
+        waited = co_await wait_for_startup(request.arrived, exchange);
+      if (waited) continue;
       break;
     }
-    if (!own_.pay_for_send(request)) break;
+    if (!local_.charge_send(request)) break;
     const std::string& region = chosen->region;
-    if (request.sends.count() > 0) own_.note_retry(request, last, region);
+    if (request.sends.count() > 0) local_.record_retry(request, last, region);
     if (region == context_.self.region) {
-      last = co_await own_.serve(request, chosen->endpoint, exchange);
+      last = co_await local_.serve(request, chosen->endpoint, exchange);
     } else {
       last = co_await remote_.serve(request, region, exchange);
       request.sends.sent(last.sends);
@@ -177,12 +181,13 @@
       co_return last;
     }
     may_have_run = may_have_run || last.ran != run_state::no;
-    if (last.endpoint_answer) kept = last.endpoint_answer;
-    if (!may_go_elsewhere(request, last)) break;
+    if (last.endpoint_answer) last_endpoint_answer = last.endpoint_answer;
+    if (!may_try_other_region(request, last)) break;
     exhausted.insert(region);
   }
   // An endpoint's own answer is preferred to a refusal by the gateway.
-  if (kept && !last.endpoint_answer) last.endpoint_answer = std::move(kept);
+  if (last_endpoint_answer && !last.endpoint_answer)
+    last.endpoint_answer = std::move(last_endpoint_answer);
   if (may_have_run) last.ran = run_state::unknown;
   co_return last;
 }
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -10,13 +10,13 @@
 using std::chrono::milliseconds;
 
 // Assumed until the round-trip time to a region is measured.
-constexpr milliseconds unknown_round_trip{110};
+constexpr milliseconds default_round_trip{110};
 // Cost of serving in another region, as a fraction of a request's value: the
 // work of a second gateway, and bandwidth on the link between the regions.
-constexpr double hop_cost = 0.03;
+constexpr double forwarding_cost = 0.03;
 // Probability that shared prompt sections cached in this region are not cached
 // in the other one.
-constexpr double cold_away = 0.5;
+constexpr double remote_miss_probability = 0.5;
 
 /// The load of a service in another region, as advertised by its gateways.
 struct remote_load {
@@ -48,7 +48,7 @@
 }
 
 /// Returns the fraction of the prompt that is shared with other requests.
-double shared_share(const routing::engine_work& work) {
+double shared_prompt_fraction(const routing::engine_work& work) {
   if (work.sections.empty() || work.prompt_tokens == 0) return 0;
   std::uint32_t shared = 0;
   for (const routing::prompt_section& it : work.sections) shared += it.tokens;
@@ -57,8 +57,9 @@
   return std::min(1.0, static_cast<double>(shared) / work.prompt_tokens);
 }
 
-double away_cost(const routing::engine_work& work) {
-  return hop_cost + cold_away * routing::read_again_cost * shared_share(work);
+double remote_cost(const routing::engine_work& work) {
+  return forwarding_cost + remote_miss_probability * routing::read_again_cost *
+                               shared_prompt_fraction(work);
 }
 
 unsigned tokens_per_event(const routed_request& request) {
@@ -70,15 +71,13 @@
 
 /// Estimates the completion of `request` in `region`, assuming that the engines
 /// there process prompts as fast as those of the local region.
-routing::outlook outlook_away(const gateway_context& context,
-                              const remote_load& load,
-                              const std::string& region,
-                              std::uint32_t sent_tokens,
-                              const routed_request& request,
-                              const routing::engine_book& engines) {
+routing::outlook estimate_remote_completion(
+    const gateway_context& context, const remote_load& load,
+    const std::string& region, std::uint32_t sent_tokens,
+    const routed_request& request, const routing::engine_book& engines) {
   const auto measured = context.round_trips.find(region);
   const milliseconds distance = measured == context.round_trips.end()
-                                    ? unknown_round_trip
+                                    ? default_round_trip
                                     : measured->second;
   const routing::engine_work& work = request.work;
   const milliseconds reading =
@@ -108,37 +107,38 @@
   return permits_region(*request.route, region) && !exhausted.contains(region);
 }
 
-std::optional<valued_decision> weigh_own_region(
-    const gateway_context& context, const endpoint_pool& own,
+std::optional<valued_decision> evaluate_local_region(
+    const gateway_context& context, const endpoint_pool& local_pool,
     const routed_request& request, const routing::expectation& wanted) {
-  const result<chosen_endpoint> chosen = own.choose(request);
+  const result<chosen_endpoint> chosen = local_pool.choose(request);
   if (!chosen) return std::nullopt;
   return valued_decision{
       {context.self.region, *chosen},
       routing::chance_value(routing::net_value(chosen->expected, wanted),
-                            chosen->chance)};
+                            chosen->acceptance_probability)};
 }
 
 /// Returns the other region with the highest value.
-std::optional<valued_decision> weigh_other_regions(
-    const gateway_context& context, const endpoint_pool& own,
+std::optional<valued_decision> evaluate_remote_regions(
+    const gateway_context& context, const endpoint_pool& local_pool,
     const route_forwarder& remote, const routed_request& request,
     const routing::expectation& wanted,
     const std::set<std::string>& exhausted) {
   std::optional<valued_decision> best;
-  const double cost = away_cost(request.work);
+  const double cost = remote_cost(request.work);
   for (const std::string& region : context.nodes.regions()) {
     const bool other = region != context.self.region;
     if (!other || !may_serve(request, region, exhausted)) continue;
     const std::optional<remote_load> load =
         load_in(context, region, request.service);
     if (!load) continue;
-    const routing::outlook expected =
-        outlook_away(context, *load, region, remote.unanswered_tokens(region),
-                     request, own.engines());
+    const routing::outlook expected = estimate_remote_completion(
+        context, *load, region, remote.unanswered_tokens(region), request,
+        local_pool.engines());
     const double value =
-        routing::chance_value(routing::net_value(expected, wanted),
-                              remote.chance(region, request.service)) -
+        routing::chance_value(
+            routing::net_value(expected, wanted),
+            remote.acceptance_probability(region, request.service)) -
         cost;
     if (best && value <= best->value) continue;
     best = valued_decision{{region, std::nullopt}, value};
@@ -147,35 +147,36 @@
 }
 
 /// Returns true with probability `share`.
-bool leaves(double share, random_source& random) {
-  constexpr std::uint64_t parts = 1'000'000;
-  return static_cast<double>(random.below(parts)) <
-         share * static_cast<double>(parts);
+bool is_selected(double share, random_source& random) {
+  constexpr std::uint64_t resolution = 1'000'000;
+  return static_cast<double>(random.below(resolution)) <
+         share * static_cast<double>(resolution);
 }
 
 }  // namespace
 
 std::optional<region_decision> choose_region(
-    const gateway_context& context, const endpoint_pool& own,
+    const gateway_context& context, const endpoint_pool& local_pool,
     const route_forwarder& remote, const routed_request& request,
     const std::set<std::string>& exhausted) {
   const monotonic_time now = context.clock.now();
   const routing::expectation wanted = expectation_of(request, now);
-  std::optional<valued_decision> home;
+  std::optional<valued_decision> best_local;
   if (may_serve(request, context.self.region, exhausted)) {
-    home = weigh_own_region(context, own, request, wanted);
+    best_local = evaluate_local_region(context, local_pool, request, wanted);
   }
-  std::optional<valued_decision> away;
+  std::optional<valued_decision> best_remote;
   if (context.state.may_cross(now)) {
-    away =
-        weigh_other_regions(context, own, remote, request, wanted, exhausted);
+    best_remote = evaluate_remote_regions(context, local_pool, remote, request,
+                                          wanted, exhausted);
   }
-  if (!home && !away) return std::nullopt;
-  if (!home) return std::move(away->decision);
-  if (!away) return std::move(home->decision);
-  const double share = routing::spill_share(home->value, away->value);
-  const bool spills = leaves(share, context.random);
-  return std::move(spills ? away->decision : home->decision);
+  if (!best_local && !best_remote) return std::nullopt;
+  if (!best_local) return std::move(best_remote->decision);
+  if (!best_remote) return std::move(best_local->decision);
+  const double share =
+      routing::spill_share(best_local->value, best_remote->value);
+  const bool spills = is_selected(share, context.random);
+  return std::move(spills ? best_remote->decision : best_local->decision);
 }
 
 }  // namespace trestlepost::gateway
--- a/gateway/test/endpoint_incarnations-test.cc
+++ b/gateway/test/endpoint_incarnations-test.cc
@@ -22,38 +22,46 @@
   return out;
 }
 
-TEST(endpoint_lives_test, only_the_newest_life_is_used) {
-  endpoint_lives lives;
+TEST(endpoint_incarnations_test, only_the_newest_incarnation_is_returned) {
+  endpoint_incarnations incarnations;
   const std::vector<listed_endpoint> both{entry("a", 5), entry("a", 9),
                                           entry("b", 0), entry("a", 0)};
-  EXPECT_EQ(lives.newest(both, start),
+  EXPECT_EQ(incarnations.select_newest(both, start),
             (std::vector{entry("a", 9), entry("b", 0)}));
 }
 
-TEST(endpoint_lives_test, a_late_list_does_not_bring_an_older_life_back) {
-  endpoint_lives lives;
-  lives.newest({entry("a", 9)}, start);
-  EXPECT_TRUE(lives.newest({entry("a", 5)}, start + seconds(1)).empty());
+TEST(endpoint_incarnations_test,
+     a_delayed_list_does_not_restore_an_older_incarnation) {
+  endpoint_incarnations incarnations;
+  incarnations.select_newest({entry("a", 9)}, start);
+  EXPECT_TRUE(
+      incarnations.select_newest({entry("a", 5)}, start + seconds(1)).empty());
   // Neither does an entry without a start time, after the endpoint was not
   // listed for a while.
-  EXPECT_TRUE(lives.newest({}, start + seconds(30)).empty());
-  EXPECT_TRUE(lives.newest({entry("a", 0)}, start + seconds(59)).empty());
-  EXPECT_EQ(lives.newest({entry("a", 12)}, start + seconds(59)).size(), 1U);
+  EXPECT_TRUE(incarnations.select_newest({}, start + seconds(30)).empty());
+  EXPECT_TRUE(
+      incarnations.select_newest({entry("a", 0)}, start + seconds(59)).empty());
+  EXPECT_EQ(
+      incarnations.select_newest({entry("a", 12)}, start + seconds(59)).size(),
+      1U);
 }
 
-TEST(endpoint_lives_test, lives_that_are_long_gone_are_forgotten) {
-  endpoint_lives lives;
-  lives.newest({entry("a", 9)}, start);
-  EXPECT_EQ(lives.newest({entry("a", 5)}, start + seconds(61)).size(), 1U);
+TEST(endpoint_incarnations_test,
+     an_incarnation_is_forgotten_a_minute_after_its_last_listing) {
+  endpoint_incarnations incarnations;
+  incarnations.select_newest({entry("a", 9)}, start);
+  EXPECT_EQ(
+      incarnations.select_newest({entry("a", 5)}, start + seconds(61)).size(),
+      1U);
 }
 
-TEST(endpoint_lives_test, of_two_entries_for_one_life_the_first_holds) {
-  endpoint_lives lives;
+TEST(endpoint_incarnations_test, duplicate_entries_are_merged_into_the_first) {
+  endpoint_incarnations incarnations;
   listed_endpoint leaving = entry("a", 9, "10.0.0.8:80");
   leaving.leaving = true;
   listed_endpoint expected = entry("a", 9);
   expected.leaving = true;
-  EXPECT_EQ(lives.newest({entry("a", 9), leaving}, start),
+  EXPECT_EQ(incarnations.select_newest({entry("a", 9), leaving}, start),
             (std::vector{expected}));
 }
 
--- a/gateway/test/event_scanner-test.cc
+++ b/gateway/test/event_scanner-test.cc
@@ -14,12 +14,12 @@
 struct example {
   const char* what;
   std::string pushed;
-  std::string passable;
+  std::string output;
   std::string resume_point;
   stream_fault fault = stream_fault::none;
 };
 
-TEST(event_scanner_test, passes_whole_events_and_notes_their_ids) {
+TEST(event_scanner_test, passes_complete_events_and_records_their_ids) {
   const std::vector<example> table{
       {"one event", "id: 1\ndata: x\n\n", "id: 1\ndata: x\n\n", "1"},
       {"CR LF", "id: 1\r\ndata: x\r\n\r\n", "id: 1\r\ndata: x\r\n\r\n", "1"},
@@ -51,14 +51,15 @@
   };
   for (const example& it : table) {
     event_scanner scanner;
-    const scanned_events got = scanner.push(it.pushed);
-    EXPECT_EQ(got.passable, it.passable) << it.what;
+    const scan_result got = scanner.push(it.pushed);
+    EXPECT_EQ(got.output, it.output) << it.what;
     EXPECT_EQ(got.fault, it.fault) << it.what;
     EXPECT_EQ(scanner.resume_point(), it.resume_point) << it.what;
   }
 }
 
-TEST(event_scanner_test, a_cut_at_any_byte_passes_the_events_before_it) {
+TEST(event_scanner_test,
+     a_stream_cut_at_any_byte_passes_the_events_before_the_cut) {
   for (const std::string& end : {std::string("\n"), std::string("\r\n")}) {
     std::vector<std::size_t> ends{0};
     std::string all;
@@ -69,67 +70,69 @@
     }
     for (std::size_t cut = 0; cut <= all.size(); ++cut) {
       event_scanner scanner;
-      const std::string first = scanner.push(all.substr(0, cut)).passable;
+      const std::string first = scanner.push(all.substr(0, cut)).output;
       std::size_t whole = 0;
       for (const std::size_t it : ends) whole = it <= cut ? it : whole;
       EXPECT_EQ(first, all.substr(0, whole)) << cut;
-      EXPECT_EQ(scanner.misses_something(), whole != cut) << cut;
-      const std::string rest = scanner.push(all.substr(cut)).passable;
+      EXPECT_EQ(scanner.is_incomplete(), whole != cut) << cut;
+      const std::string rest = scanner.push(all.substr(cut)).output;
       EXPECT_EQ(first + rest, all) << cut;
       EXPECT_EQ(scanner.resume_point(), "10") << cut;
-      EXPECT_FALSE(scanner.misses_something()) << cut;
+      EXPECT_FALSE(scanner.is_incomplete()) << cut;
     }
   }
 }
 
-TEST(event_scanner_test, a_huge_event_is_passed_on_without_a_resume_point) {
+TEST(event_scanner_test,
+     an_oversized_event_is_passed_on_without_a_resume_point) {
   constexpr std::size_t largest = 64;
   event_scanner scanner(largest);
-  EXPECT_EQ(scanner.push("id: 1\n\nid: 2\n").passable, "id: 1\n\n");
+  EXPECT_EQ(scanner.push("id: 1\n\nid: 2\n").output, "id: 1\n\n");
   const std::string huge = "data: " + std::string(largest, 'x');
-  const scanned_events got = scanner.push(huge);
+  const scan_result got = scanner.push(huge);
   EXPECT_EQ(got.fault, stream_fault::too_large);
-  EXPECT_EQ(got.passable, "id: 2\n" + huge);
+  EXPECT_EQ(got.output, "id: 2\n" + huge);
   EXPECT_EQ(scanner.resume_point(), "");
-  EXPECT_EQ(scanner.push("yy").passable, "yy");
-  EXPECT_EQ(scanner.push("\n\nid: 3\n\n").passable, "\n\nid: 3\n\n");
+  EXPECT_EQ(scanner.push("yy").output, "yy");
+  EXPECT_EQ(scanner.push("\n\nid: 3\n\n").output, "\n\nid: 3\n\n");
   EXPECT_EQ(scanner.resume_point(), "");
-  EXPECT_EQ(scanner.finish().passable, "");
+  EXPECT_EQ(scanner.finish().output, "");
 }
 
-TEST(event_scanner_test, large_pieces_of_small_events_are_not_huge) {
+TEST(event_scanner_test, large_pieces_of_small_events_are_not_oversized) {
   event_scanner scanner(8);
   const std::string events = "id: 1\n\nid: 2\n\nid: 3\n\n";
-  EXPECT_EQ(scanner.push(events).passable, events);
+  EXPECT_EQ(scanner.push(events).output, events);
   EXPECT_EQ(scanner.resume_point(), "3");
 }
 
-TEST(event_scanner_test, the_end_passes_what_is_held) {
+TEST(event_scanner_test, the_end_of_the_stream_passes_the_buffered_bytes) {
   event_scanner scanner;
-  EXPECT_EQ(scanner.push("id: 1\n\nid: 2\ndata: x").passable, "id: 1\n\n");
-  const scanned_events got = scanner.finish();
-  EXPECT_EQ(got.passable, "id: 2\ndata: x");
+  EXPECT_EQ(scanner.push("id: 1\n\nid: 2\ndata: x").output, "id: 1\n\n");
+  const scan_result got = scanner.finish();
+  EXPECT_EQ(got.output, "id: 2\ndata: x");
   EXPECT_EQ(got.fault, stream_fault::none);
-  EXPECT_FALSE(scanner.misses_something());
+  EXPECT_FALSE(scanner.is_incomplete());
 }
 
 struct continuation_example {
   const char* what;
   std::string pushed;
-  std::string passable;
+  std::string output;
   stream_fault fault = stream_fault::none;
 };
 
-TEST(event_scanner_test, a_continuation_begins_after_the_last_event) {
+TEST(event_scanner_test, a_continuation_must_start_after_the_last_event) {
   const std::vector<continuation_example> table{
       {"the next", "id: 6\n\n", "id: 6\n\n"},
       {"a later one", "id: 8\n\n", "id: 8\n\n"},
-      {"the same", "id: 5\n\nid: 6\n\n", "", stream_fault::not_rising},
-      {"from the start", "id: 1\n\n", "", stream_fault::not_rising},
-      {"no id", "data: x\n\n", "", stream_fault::not_rising},
-      {"an id that is no number", "id: x\n\n", "", stream_fault::not_rising},
+      {"the same", "id: 5\n\nid: 6\n\n", "", stream_fault::non_increasing_id},
+      {"from the start", "id: 1\n\n", "", stream_fault::non_increasing_id},
+      {"no id", "data: x\n\n", "", stream_fault::non_increasing_id},
+      {"an id that is no number", "id: x\n\n", "",
+       stream_fault::non_increasing_id},
       {"one again later", "id: 6\n\nid: 6\n\n", "id: 6\n\n",
-       stream_fault::not_rising},
+       stream_fault::non_increasing_id},
       {"no id later", "id: 6\n\ndata: x\n\n", "id: 6\n\ndata: x\n\n"},
       {"a comment first", ": a\n\nid: 6\n\n", ": a\n\nid: 6\n\n"},
       {"CR alone", "id: 6\r\r", "", stream_fault::unreadable},
@@ -139,32 +142,32 @@
     event_scanner scanner;
     scanner.push("id: 5\n\nid: 6\nda");
     EXPECT_EQ(scanner.resume_point(), "5") << it.what;
-    scanner.continue_elsewhere();
+    scanner.start_continuation();
     EXPECT_TRUE(scanner.continued());
-    EXPECT_TRUE(scanner.misses_something());
-    const scanned_events got = scanner.push(it.pushed);
-    EXPECT_EQ(got.passable, it.passable) << it.what;
+    EXPECT_TRUE(scanner.is_incomplete());
+    const scan_result got = scanner.push(it.pushed);
+    EXPECT_EQ(got.output, it.output) << it.what;
     EXPECT_EQ(got.fault, it.fault) << it.what;
   }
 }
 
-TEST(event_scanner_test, a_wrong_last_part_of_a_continuation_is_not_passed) {
+TEST(event_scanner_test,
+     an_invalid_last_event_of_a_continuation_is_not_passed) {
   event_scanner scanner;
   scanner.push("id: 5\n\n");
-  scanner.continue_elsewhere();
-  EXPECT_EQ(scanner.push("id: 5\ndata: x").passable, "");
-  const scanned_events got = scanner.finish();
-  EXPECT_EQ(got.passable, "");
-  EXPECT_EQ(got.fault, stream_fault::not_rising);
+  scanner.start_continuation();
+  EXPECT_EQ(scanner.push("id: 5\ndata: x").output, "");
+  const scan_result got = scanner.finish();
+  EXPECT_EQ(got.output, "");
+  EXPECT_EQ(got.fault, stream_fault::non_increasing_id);
 }
 
-TEST(event_scanner_test, a_huge_event_of_a_continuation_is_not_passed) {
+TEST(event_scanner_test, an_oversized_event_of_a_continuation_is_not_passed) {
   event_scanner scanner(16);
   scanner.push("id: 5\n\n");
-  scanner.continue_elsewhere();
-  const scanned_events got =
-      scanner.push("id: 6\ndata: " + std::string(20, 'x'));
-  EXPECT_EQ(got.passable, "");
+  scanner.start_continuation();
+  const scan_result got = scanner.push("id: 6\ndata: " + std::string(20, 'x'));
+  EXPECT_EQ(got.output, "");
   EXPECT_EQ(got.fault, stream_fault::too_large);
 }
 
@@ -219,15 +222,15 @@
   std::string out;
   for (std::size_t at = 0; at < text.size();) {
     const std::size_t size = *rc::gen::inRange<std::size_t>(1, 24);
-    const scanned_events got = scanner.push(text.substr(at, size));
+    const scan_result got = scanner.push(text.substr(at, size));
     RC_ASSERT(got.fault == stream_fault::none);
-    out += got.passable;
+    out += got.output;
     at += size;
   }
   return out;
 }
 
-RC_GTEST_PROP(event_scanner_test, a_stream_cut_anywhere_arrives_whole, ()) {
+RC_GTEST_PROP(event_scanner_test, an_interrupted_stream_arrives_complete, ()) {
   const std::vector<made_event> all = make_stream(true);
   const std::string whole = text_after(all, "");
   event_scanner scanner;
@@ -242,14 +245,15 @@
     if (scanner.resume_point().empty())
       scanner = event_scanner();
     else
-      scanner.continue_elsewhere();
+      scanner.start_continuation();
   }
   passed += push_in_pieces(scanner, text_after(all, scanner.resume_point()));
-  passed += scanner.finish().passable;
+  passed += scanner.finish().output;
   RC_ASSERT(passed == whole);
 }
 
-RC_GTEST_PROP(event_scanner_test, a_resume_point_is_the_last_event_passed, ()) {
+RC_GTEST_PROP(event_scanner_test, the_resume_point_is_the_last_event_passed,
+              ()) {
   const std::vector<made_event> all = make_stream(false);
   const std::string whole = text_after(all, "");
   const std::size_t cut = *rc::gen::inRange<std::size_t>(0, whole.size() + 1);
--- a/gateway/test/remote_caches-test.cc
+++ b/gateway/test/remote_caches-test.cc
@@ -17,32 +17,32 @@
   return out;
 }
 
-TEST(remote_caches_test, one_section_has_one_likely_holder) {
+TEST(remote_caches_test, a_section_has_one_likely_source) {
   const remote_caches caches = two_regions();
   std::set<std::string> seen;
   for (std::uint64_t id = 1; id < 50; ++id) {
-    const std::string first = caches.likely_holder("lm", {id, 900}, {});
-    EXPECT_EQ(caches.likely_holder("lm", {id, 900}, {}), first);
+    const std::string first = caches.likely_source("lm", {id, 900}, {});
+    EXPECT_EQ(caches.likely_source("lm", {id, 900}, {}), first);
     seen.insert(first);
   }
   const std::set<std::string> largest{"10.0.0.1:1", "10.0.0.2:1"};
   EXPECT_EQ(seen, largest);
 }
 
-TEST(remote_caches_test, only_regions_that_may_cache_the_request_count) {
+TEST(remote_caches_test, regions_that_may_not_cache_the_request_are_ignored) {
   const remote_caches caches = two_regions();
   config::route bound;
   bound.home_regions = {"golfo", "stretto"};
-  EXPECT_EQ(caches.likely_holder("lm", {7, 900}, bound), "10.0.0.3:1");
+  EXPECT_EQ(caches.likely_source("lm", {7, 900}, bound), "10.0.0.3:1");
   bound.home_regions = {"stretto"};
-  EXPECT_EQ(caches.likely_holder("lm", {7, 900}, bound), "");
+  EXPECT_EQ(caches.likely_source("lm", {7, 900}, bound), "");
 }
 
-TEST(remote_caches_test, other_services_and_forgotten_ones_have_none) {
+TEST(remote_caches_test, unknown_and_cleared_services_have_no_source) {
   remote_caches caches = two_regions();
-  EXPECT_EQ(caches.likely_holder("other", {7, 900}, {}), "");
+  EXPECT_EQ(caches.likely_source("other", {7, 900}, {}), "");
   caches.clear();
-  EXPECT_EQ(caches.likely_holder("lm", {7, 900}, {}), "");
+  EXPECT_EQ(caches.likely_source("lm", {7, 900}, {}), "");
 }
 
 }  // namespace
--- a/gateway/test/request-test.cc
+++ b/gateway/test/request-test.cc
@@ -10,7 +10,7 @@
 namespace trestlepost::gateway {
 namespace {
 
-TEST(forward_message_test, survives_its_encoding_and_proves_its_sender) {
+TEST(forward_message_test, survives_encoding_and_authenticates_its_sender) {
   forward_message sent;
   sent.head.request_id = "r";
   sent.head.method = "POST";
@@ -35,7 +35,7 @@
   EXPECT_NE(forward_digest("k", head, "a"), forward_digest("j", head, "a"));
 }
 
-TEST(forward_message_test, an_unsound_one_is_refused) {
+TEST(forward_message_test, an_invalid_message_is_rejected) {
   const std::string head = R"("head":{"request_id":"r","method":"POST",)"
                            R"("target":"/p","headers":[]})";
   EXPECT_TRUE(
@@ -62,7 +62,7 @@
   }
 }
 
-TEST(request_digest_test, tells_bodies_apart) {
+TEST(request_digest_test, depends_on_the_body_and_its_type) {
   incoming_request a;
   a.head.method = "POST";
   a.body = "1";
--- a/gateway/test/request_fingerprint-test.cc
+++ b/gateway/test/request_fingerprint-test.cc
@@ -9,7 +9,7 @@
 namespace trestlepost::gateway {
 namespace {
 
-TEST(request_fingerprint_test, names_the_same_request_alike) {
+TEST(request_fingerprint_test, equal_requests_have_equal_fingerprints) {
   const request_identity one{"c", "POST", "h", "/p?q=1", "body"};
   const std::string named = fingerprint_of(one, "secret");
   EXPECT_EQ(named, fingerprint_of(one, "secret"));
@@ -17,7 +17,7 @@
   EXPECT_NE(named, fingerprint_of(one, "another secret"));
 }
 
-TEST(request_fingerprint_test, each_part_counts_and_none_runs_into_the_next) {
+TEST(request_fingerprint_test, every_field_counts_and_fields_are_delimited) {
   const std::vector<request_identity> all{
       {"c", "POST", "h", "/p", "body"},  {"d", "POST", "h", "/p", "body"},
       {"c", "PUT", "h", "/p", "body"},   {"c", "POST", "i", "/p", "body"},
