--- a/gateway/src/delivery.cc
+++ b/gateway/src/delivery.cc
@@ -81,8 +81,9 @@
           call, exchange, std::move(answer), std::move(buffered), on_next);
       out.outcome.connection_lost =
           relayed.interruption && is_connection_loss(*relayed.interruption);
-      const bool whole = !relayed.caller_disconnected && !relayed.interruption;
-      if (whole) co_await exchange.finish_stream();
+      const bool complete =
+          !relayed.caller_disconnected && !relayed.interruption;
+      if (complete) co_await exchange.finish_stream();
       co_return out;
     }
   }
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -38,7 +38,7 @@
     const std::vector<surface::listed_endpoint>& listed,
     config::revision_number covers,
     const std::map<std::string, std::string>& zones) {
-  std::vector<surface::listed_endpoint> own;
+  std::vector<surface::listed_endpoint> local;
   remote_caches_.clear();
   const monotonic_time now = context_.clock.now();
   for (surface::listed_endpoint& it :
@@ -46,13 +46,13 @@
     const auto zone = zones.find(it.availability_zone);
     if (zone == zones.end()) continue;
     if (zone->second == context_.self.region) {
-      own.push_back(std::move(it));
+      local.push_back(std::move(it));
     } else if (!it.leaving) {
       remote_caches_.add(it.service, zone->second,
                          {it.identity.name(), it.address});
     }
   }
-  listed_ = std::move(own);
+  listed_ = std::move(local);
   warmth_.list_covers(covers);
   for (const surface::listed_endpoint& it : listed_) {
     warmth_.told(it.identity.name(), it.cold_left, routing::warmth_source::list,
@@ -124,15 +124,16 @@
   // A node that has just started has received heartbeats from few of the other
   // gateways, and does not know what its previous incarnation sent.
   if (context_.state.is_learning(now)) return false;
-  const std::uint64_t own = rendezvous_score(endpoint, context_.self.name);
-  std::size_t better = 0;
+  const std::uint64_t own_score =
+      rendezvous_score(endpoint, context_.self.name);
+  std::size_t higher = 0;
   // Unreachable gateways are included. Otherwise, while many gateways stall,
   // too many of the rest would consider themselves one of the few senders.
   for (const membership::node_record* it :
        context_.nodes.possible_gateways(context_.self, now)) {
-    if (rendezvous_score(endpoint, it->last.node.name) > own) ++better;
+    if (rendezvous_score(endpoint, it->last.node.name) > own_score) ++higher;
   }
-  return better < routing::cold_limiter::senders_per_endpoint;
+  return higher < routing::cold_limiter::senders_per_endpoint;
 }
 
 bool endpoint_pool::may_be_cold(const std::string& endpoint,
@@ -178,9 +179,10 @@
     chosen.push_back(std::move(one.chosen));
     candidates.push_back(one.candidate);
   }
-  const routing::expectation wanted = expectation_of(request, now);
+  const routing::expectation requirements =
+      latency_requirements_of(request, now);
   const std::optional<std::size_t> best =
-      routing::choose_engine(candidates, wanted);
+      routing::choose_engine(candidates, requirements);
   if (!best) return std::nullopt;
   return std::move(chosen[*best]);
 }
--- a/gateway/src/endpoint_runner.cc
+++ b/gateway/src/endpoint_runner.cc
@@ -147,8 +147,8 @@
   for (int n = 0; sent; ++n) {
     current.answer = surfaces_.endpoints->read_head(*current.call);
     const std::string& id = current.answer.request_id;
-    const bool own = id.empty() || id == current.request.head.request_id;
-    if (own) break;
+    const bool is_current = id.empty() || id == current.request.head.request_id;
+    if (is_current) break;
     log_event(log_level::warn, "surplus-answer",
               {{"request_id", current.request.head.request_id},
                {"endpoint", current.endpoint.name},
--- a/gateway/src/local_service.cc
+++ b/gateway/src/local_service.cc
@@ -217,10 +217,10 @@
 }
 
 std::string local_service::fingerprint(const incoming_request& request) const {
-  const request_identity own{request.caller->name, request.head.method,
-                             request.service->name, request.head.target,
-                             request.body};
-  return fingerprint_of(own, context_.peer_secret);
+  const request_identity identity{request.caller->name, request.head.method,
+                                  request.service->name, request.head.target,
+                                  request.body};
+  return fingerprint_of(identity, context_.peer_secret);
 }
 
 std::optional<delivery_result> local_service::refuse_held(
--- a/gateway/src/metrics.cc
+++ b/gateway/src/metrics.cc
@@ -40,7 +40,7 @@
       served_(counter(registry, "trestlepost_served_total",
                       "Answered requests, by the region that served them.")),
       sends_(counter(registry, "trestlepost_sends_total",
-                     "Requests written to endpoints of the own region.")),
+                     "Requests written to endpoints of the local region.")),
       retries_(counter(registry, "trestlepost_retries_total",
                        "Second and later attempts.")),
       retries_denied_(counter(registry, "trestlepost_retries_denied_total",
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -214,9 +214,9 @@
       std::chrono::duration_cast<milliseconds>(passed).count();
   // Separate event names, so that the limit on answered requests does not drop
   // failures.
-  const bool whole = outcome.delivered && outcome.cause.message.empty();
-  log_event(whole ? log_level::info : log_level::warn,
-            whole ? "request-answered" : "request-failed",
+  const bool complete = outcome.delivered && outcome.cause.message.empty();
+  log_event(complete ? log_level::info : log_level::warn,
+            complete ? "request-answered" : "request-failed",
             {{"request_id", request.head.request_id},
              {"route", request.route->name},
              {"service", request.service},
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -80,7 +80,7 @@
                                     ? default_round_trip
                                     : measured->second;
   const routing::engine_work& work = request.work;
-  const milliseconds reading =
+  const milliseconds prefill_time =
       engines.reading_time(request.service, work.prompt_tokens);
   const unsigned events = work.output_tokens / tokens_per_event(request);
   routing::outlook out;
@@ -89,10 +89,10 @@
   out.wait =
       load.wait + distance +
       engines.reading_time(request.service, sent_tokens) / load.endpoints;
-  out.first_token = out.wait + reading;
+  out.first_token = out.wait + prefill_time;
   out.finish = out.first_token + events * load.event_interval;
   out.slows_others = milliseconds(static_cast<std::int64_t>(
-      load.running * static_cast<double>(reading.count())));
+      load.running * static_cast<double>(prefill_time.count())));
   return out;
 }
 
@@ -109,12 +109,12 @@
 
 std::optional<valued_decision> evaluate_local_region(
     const gateway_context& context, const endpoint_pool& local_pool,
-    const routed_request& request, const routing::expectation& wanted) {
+    const routed_request& request, const routing::expectation& requirements) {
   const result<chosen_endpoint> chosen = local_pool.choose(request);
   if (!chosen) return std::nullopt;
   return valued_decision{
       {context.self.region, *chosen},
-      routing::chance_value(routing::net_value(chosen->expected, wanted),
+      routing::chance_value(routing::net_value(chosen->expected, requirements),
                             chosen->acceptance_probability)};
 }
 
@@ -122,7 +122,7 @@
 std::optional<valued_decision> evaluate_remote_regions(
     const gateway_context& context, const endpoint_pool& local_pool,
     const route_forwarder& remote, const routed_request& request,
-    const routing::expectation& wanted,
+    const routing::expectation& requirements,
     const std::set<std::string>& exhausted) {
   std::optional<valued_decision> best;
   const double cost = remote_cost(request.work);
@@ -137,7 +137,7 @@
         local_pool.engines());
     const double value =
         routing::chance_value(
-            routing::net_value(expected, wanted),
+            routing::net_value(expected, requirements),
             remote.acceptance_probability(region, request.service)) -
         cost;
     if (best && value <= best->value) continue;
@@ -160,15 +160,17 @@
     const route_forwarder& remote, const routed_request& request,
     const std::set<std::string>& exhausted) {
   const monotonic_time now = context.clock.now();
-  const routing::expectation wanted = expectation_of(request, now);
+  const routing::expectation requirements =
+      latency_requirements_of(request, now);
   std::optional<valued_decision> best_local;
   if (may_serve(request, context.self.region, exhausted)) {
-    best_local = evaluate_local_region(context, local_pool, request, wanted);
+    best_local =
+        evaluate_local_region(context, local_pool, request, requirements);
   }
   std::optional<valued_decision> best_remote;
   if (context.state.may_cross(now)) {
     best_remote = evaluate_remote_regions(context, local_pool, remote, request,
-                                          wanted, exhausted);
+                                          requirements, exhausted);
   }
   if (!best_local && !best_remote) return std::nullopt;
   if (!best_local) return std::move(best_remote->decision);
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -89,7 +89,7 @@
          expected.wait >= first_event_timeout(*request.route);
 }
 
-result<chosen_endpoint> continuation_error(const std::string& why) {
+result<chosen_endpoint> resume_error(const std::string& why) {
   return fail(error_kind::endpoint_failed, why,
               "send the request again with the last event's id");
 }
@@ -176,8 +176,9 @@
   if (too_late(request, chosen.expected, now)) {
     return tl::make_unexpected(long_wait_refusal(chosen));
   }
-  const routing::expectation wanted = expectation_of(request, now);
-  if (routing::net_value(chosen.expected, wanted) < -max_net_loss) {
+  const routing::expectation requirements =
+      latency_requirements_of(request, now);
+  if (routing::net_value(chosen.expected, requirements) < -max_net_loss) {
     return tl::make_unexpected(
         delay_refusal(chosen, pool_.engines().mean_hold(request.service)));
   }
@@ -246,26 +247,25 @@
 result<chosen_endpoint> route_service::choose_continuation(
     routed_request& request, const event_scanner& events, unsigned unsent) {
   if (events.resume_point().empty()) {
-    return continuation_error("the last event has no id");
+    return resume_error("the last event has no id");
   }
-  if (hold_refusal(request)) return continuation_error("the request is held");
+  if (hold_refusal(request)) return resume_error("the request is held");
   const monotonic_time now = context_.clock.now();
-  if (now >= request.deadline)
-    return continuation_error("the deadline has passed");
+  if (now >= request.deadline) return resume_error("the deadline passed");
   if (request.sends.count() >= request.route->attempts) {
-    return continuation_error("the route permits no more attempts");
+    return resume_error("the route permits no more attempts");
   }
   if (unsent >= max_unsent_attempts) {
-    return continuation_error("no endpoint accepts the request");
+    return resume_error("no endpoint accepts the request");
   }
   result<chosen_endpoint> chosen = pool_.choose(request);
   if (!chosen) return chosen;
   if (continuation_too_late(request, chosen->expected, now)) {
-    return continuation_error("queued prompts would take too long");
+    return resume_error("queued prompts would take too long");
   }
   if (!charge_send(request)) {
-    return continuation_error("the retry budget of " + request.service +
-                              " is exhausted");
+    return resume_error("the retry budget of " + request.service +
+                        " is exhausted");
   }
   return chosen;
 }
--- a/gateway/src/routed_request.cc
+++ b/gateway/src/routed_request.cc
@@ -8,9 +8,9 @@
 
 const std::string& routed_request::fingerprint(std::string_view secret) {
   if (fingerprint_.empty()) {
-    const request_identity own{head.passed_header("Authorization"), head.method,
-                               head.host, head.target, body};
-    fingerprint_ = fingerprint_of(own, secret);
+    const request_identity identity{head.passed_header("Authorization"),
+                                    head.method, head.host, head.target, body};
+    fingerprint_ = fingerprint_of(identity, secret);
   }
   return fingerprint_;
 }
@@ -28,8 +28,8 @@
   return out;
 }
 
-routing::expectation expectation_of(const routed_request& request,
-                                    monotonic_time now) {
+routing::expectation latency_requirements_of(const routed_request& request,
+                                             monotonic_time now) {
   return {request.route->latency_objective,
           std::chrono::duration_cast<std::chrono::milliseconds>(
               request.deadline - now)};
