--- a/gateway/include/trestlepost/gateway/context.h
+++ b/gateway/include/trestlepost/gateway/context.h
@@ -19,23 +19,23 @@
 namespace trestlepost::gateway {
 
 /// Access to the ledger of this node's region and to those of other regions.
-class run_once {
+class ledger_client {
  public:
-  virtual ~run_once() = default;
+  virtual ~ledger_client() = default;
 
   /// Returns the decision on a claim once a majority has committed it, or an
   /// error if there is none by `deadline`. In that case the claim is abandoned,
   /// and released if it is granted later.
   virtual transport::awaitable<result<ledger::claim_decision>> claim(
-      ledger::claim_command asked, monotonic_time deadline) = 0;
+      ledger::claim_command command, monotonic_time deadline) = 0;
 
   /// Closes a key in a region that previously owned it.
   virtual transport::awaitable<result<ledger::claim_decision>> fence(
-      std::string region, ledger::fence_command asked,
+      std::string region, ledger::fence_command command,
       monotonic_time deadline) = 0;
 
   /// Records the outcome of an attempt, retrying until it is stored.
-  virtual void finish(const ledger::finish_command& told) = 0;
+  virtual void finish(const ledger::finish_command& command) = 0;
 
   /// Returns a new attempt id, unique to this process.
   virtual std::string make_attempt_id() = 0;
@@ -44,7 +44,7 @@
 struct gateway_options {
   std::size_t queue_capacity = 2000;  // per service
   std::chrono::milliseconds claim_timeout{3000};
-  unsigned most_attempts = 3;
+  unsigned max_attempts = 3;
   routing::region_choice_options region_choice;
   /// How long callers may cache a response of the entry directory.
   std::chrono::milliseconds directory_lifetime{5000};
@@ -61,7 +61,7 @@
   membership::endpoint_tracker& endpoints;
   transport::http_client& client;
   gateway_metrics& metrics;
-  run_once& ledger;
+  ledger_client& ledger;
   std::string peer_secret;
   gateway_options options;
   /// Measured round-trip time to each region.
--- a/gateway/include/trestlepost/gateway/crash_watch.h
+++ b/gateway/include/trestlepost/gateway/crash_monitor.h
@@ -17,7 +17,7 @@
 namespace trestlepost::gateway {
 
 /// The endpoint a request ran on.
-struct run_place {
+struct run_location {
   std::string endpoint;
   std::string address;
   std::string service;
@@ -32,23 +32,23 @@
 /// Requests are identified by their fingerprints. Those that crash endpoints
 /// are held: they are sent to no endpoint once the configuration lists them, or
 /// once this gateway alone has observed enough crashes.
-class crash_watch {
+class crash_monitor {
  public:
-  explicit crash_watch(gateway_context& context) : context_(context) {}
+  explicit crash_monitor(gateway_context& context) : context_(context) {}
 
   /// Called for each request that was running on an endpoint when it crashed.
   std::function<void(const routing::crash_report&)> on_crash;
   /// Called when a request that was involved in crashes completes normally.
-  std::function<void(const std::string& fingerprint)> on_ended_well;
+  std::function<void(const std::string& fingerprint)> on_run_completed;
 
   /// Records that a run of the request with this fingerprint lost its
   /// connection, and probes the endpoint.
-  void run_broke(const std::string& fingerprint, const run_place& at);
+  void run_interrupted(const std::string& fingerprint, const run_location& at);
 
   /// Returns whether any request is monitored, so that normal completions have
   /// to be recorded.
-  bool watches_any() const { return !watched_.empty(); }
-  void run_ended_well(const std::string& fingerprint);
+  bool monitors_any() const { return !monitored_.empty(); }
+  void run_completed(const std::string& fingerprint);
 
   /// Returns whether any request is held, so that fingerprints have to be
   /// checked.
@@ -60,37 +60,37 @@
   bool is_suspect(const std::string& fingerprint) const;
 
   /// Adds requests under which other gateways observed crashes.
-  void take_suspects(const std::vector<std::string>& fingerprints);
+  void add_suspects(const std::vector<std::string>& fingerprints);
   /// Adds requests that the leader of the control nodes proposes to hold. The
   /// configuration lists them shortly afterwards.
-  void take_condemned(const std::vector<std::string>& fingerprints);
+  void add_proposed_holds(const std::vector<std::string>& fingerprints);
 
   void tick();
 
  private:
   /// Probes the endpoint at `at` and evaluates the interrupted runs.
-  transport::awaitable<void> ask(run_place at);
-  void crashed(const std::string& fingerprint, const run_place& at);
+  transport::awaitable<void> probe(run_location at);
+  void record_crash(const std::string& fingerprint, const run_location& at);
   /// Holds the requests that this gateway's own observations are sufficient to
   /// hold.
-  void judge_own();
-  void hold_here(const std::string& fingerprint);
+  void apply_own_verdicts();
+  void hold_locally(const std::string& fingerprint);
   /// Clears the evidence against requests that were released.
-  void note_released();
-  void forget_old();
+  void apply_releases();
+  void remove_expired();
 
   gateway_context& context_;
-  routing::crash_attribution blame_;  // based on this gateway's own runs
+  routing::crash_attribution attribution_;  // based on this gateway's own runs
   /// Fingerprints of runs that lost their connection, by endpoint, while the
   /// endpoint is being probed.
-  std::map<std::string, std::set<std::string>> broken_at_;
+  std::map<std::string, std::set<std::string>> interrupted_runs_;
   /// Until when the completion of each of these requests is reported.
-  std::map<std::string, monotonic_time> watched_;
+  std::map<std::string, monotonic_time> monitored_;
   std::map<std::string, monotonic_time> suspects_;
   /// Until when this gateway holds each request on its own decision.
-  std::map<std::string, monotonic_time> held_here_;
+  std::map<std::string, monotonic_time> local_holds_;
   config::hold_tracker holds_;
-  monotonic_time next_cleaning_{};
+  monotonic_time next_cleanup_{};
 };
 
 }  // namespace trestlepost::gateway
--- /dev/null
+++ b/gateway/src/crash_monitor.cc
@@ -0,0 +1,203 @@
+#include "trestlepost/gateway/crash_monitor.h"
+
+#include <algorithm>
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/redirect_error.hpp>
+#include <boost/asio/use_awaitable.hpp>
+#include <utility>
+
+#include "trestlepost/base/log.h"
+#include "trestlepost/gateway/retry_after.h"
+
+namespace trestlepost::gateway {
+namespace {
+
+using std::chrono::milliseconds;
+using transport::connect_outcome;
+
+// An exiting process closes its connections one by one, and its listening
+// socket possibly last. The probe waits this long, and interruptions within
+// this time are evaluated together.
+constexpr milliseconds process_exit_time{20};
+
+// How long, and for how many requests, the completion of a request involved in
+// a crash is monitored.
+constexpr std::chrono::minutes monitoring_time{10};
+constexpr std::size_t max_monitored = 4096;
+// How long a gateway holds a request on its own decision. The configuration
+// lists the request by then, unless the control nodes have lost their majority.
+constexpr std::chrono::seconds local_hold_time{60};
+
+// Expired entries are removed at this interval, since scanning thousands of
+// them in each tick costs too much CPU time on a small VM.
+constexpr std::chrono::seconds cleanup_interval{1};
+
+using expiry_by_fingerprint = std::map<std::string, monotonic_time>;
+
+void set_expiry(expiry_by_fingerprint& all, const std::string& fingerprint,
+                monotonic_time until) {
+  if (all.size() >= max_monitored && !all.contains(fingerprint)) {
+    const auto first_to_expire = std::min_element(
+        all.begin(), all.end(),
+        [](const auto& a, const auto& b) { return a.second < b.second; });
+    all.erase(first_to_expire);
+  }
+  all[fingerprint] = until;
+}
+
+void erase_expired(expiry_by_fingerprint& all, monotonic_time now) {
+  std::erase_if(all, [now](const auto& it) { return it.second <= now; });
+}
+
+std::string_view probe_result_name(connect_outcome it) {
+  switch (it) {
+    case connect_outcome::refused:
+      return "crashed";
+    case connect_outcome::opened:
+      return "well";
+    case connect_outcome::silent:
+      break;
+  }
+  return "silent";
+}
+
+}  // namespace
+
+void crash_monitor::run_interrupted(const std::string& fingerprint,
+                                    const run_location& at) {
+  const auto [interrupted, first] =
+      interrupted_runs_.try_emplace(at.endpoint, std::set<std::string>());
+  interrupted->second.insert(fingerprint);
+  if (!first) return;
+  run_location probed_location = at;
+  transport::asio::co_spawn(context_.io, probe(std::move(probed_location)),
+                            transport::asio::detached);
+}
+
+transport::awaitable<void> crash_monitor::probe(run_location at) {
+  transport::timer timer(context_.io);
+  timer.expires_after(process_exit_time);
+  boost::system::error_code ec;
+  co_await timer.async_wait(
+      boost::asio::redirect_error(boost::asio::use_awaitable, ec));
+  std::string address = at.address;
+  const connect_outcome probed =
+      co_await context_.client.try_connect(std::move(address));
+  const std::set<std::string> interrupted =
+      std::move(interrupted_runs_.extract(at.endpoint).mapped());
+  const std::string outcome(probe_result_name(probed));
+  context_.metrics.runs_interrupted(at.service, outcome, interrupted.size());
+  log_event(log_level::info, "endpoint-runs-interrupted",
+            {{"endpoint", at.endpoint},
+             {"service", at.service},
+             {"runs", std::to_string(interrupted.size())},
+             {"endpoint_is", outcome}});
+  if (probed != connect_outcome::refused) co_return;
+  for (const std::string& it : interrupted) record_crash(it, at);
+}
+
+void crash_monitor::record_crash(const std::string& fingerprint,
+                                 const run_location& at) {
+  const monotonic_time now = context_.clock.now();
+  log_event(log_level::info, "run-ended-by-crash",
+            {{"fingerprint", fingerprint},
+             {"endpoint", at.endpoint},
+             {"service", at.service}});
+  const routing::crash_report report{fingerprint, at.endpoint, at.service, now};
+  attribution_.record_crash(report, now);
+  set_expiry(monitored_, fingerprint, now + monitoring_time);
+  if (on_crash) on_crash(report);
+}
+
+void crash_monitor::run_completed(const std::string& fingerprint) {
+  const auto monitored = monitored_.find(fingerprint);
+  if (monitored == monitored_.end()) return;
+  monitored_.erase(monitored);
+  suspects_.erase(fingerprint);
+  local_holds_.erase(fingerprint);
+  attribution_.record_success(fingerprint, context_.clock.now());
+  if (on_run_completed) on_run_completed(fingerprint);
+}
+
+bool crash_monitor::holds_any() const {
+  return !local_holds_.empty() || !context_.store.held_requests().empty();
+}
+
+std::optional<attempt> crash_monitor::refusal_of(
+    const std::string& fingerprint) const {
+  const bool held = local_holds_.contains(fingerprint) ||
+                    context_.store.held_requests().contains(fingerprint);
+  if (!held) return std::nullopt;
+  return failed_attempt(
+      run_state::no,
+      {error_kind::request_held,
+       "endpoints crash when they run this request; its fingerprint is " +
+           fingerprint,
+       "change the request; an operator may release it with `trestlepost "
+       "release " +
+           fingerprint + "`"},
+      retry_after_held);
+}
+
+bool crash_monitor::is_suspect(const std::string& fingerprint) const {
+  return suspects_.contains(fingerprint);
+}
+
+void crash_monitor::add_suspects(const std::vector<std::string>& fingerprints) {
+  const monotonic_time until = context_.clock.now() + monitoring_time;
+  for (const std::string& it : fingerprints) {
+    set_expiry(monitored_, it, until);
+    set_expiry(suspects_, it, until);
+  }
+}
+
+void crash_monitor::add_proposed_holds(
+    const std::vector<std::string>& fingerprints) {
+  for (const std::string& it : fingerprints) hold_locally(it);
+}
+
+void crash_monitor::hold_locally(const std::string& fingerprint) {
+  // Already held by the configuration; only an operator may release it.
+  if (context_.store.held_requests().contains(fingerprint)) return;
+  set_expiry(local_holds_, fingerprint, context_.clock.now() + local_hold_time);
+  log_event(log_level::info, "request-held-locally",
+            {{"fingerprint", fingerprint}});
+}
+
+void crash_monitor::apply_own_verdicts() {
+  add_suspects(attribution_.take_suspects());
+  const monotonic_time now = context_.clock.now();
+  for (const routing::hold_proposal& it : attribution_.take_hold_proposals(now)) {
+    hold_locally(it.fingerprint);
+  }
+}
+
+void crash_monitor::apply_releases() {
+  const config::hold_changes changes = holds_.update(context_.store);
+  // The configuration holds them now; from here on only an operator releases
+  // them.
+  for (const std::string& it : changes.held) local_holds_.erase(it);
+  for (const std::string& it : changes.released) {
+    attribution_.forget(it);
+    monitored_.erase(it);
+    suspects_.erase(it);
+  }
+}
+
+void crash_monitor::remove_expired() {
+  const monotonic_time now = context_.clock.now();
+  if (now < next_cleanup_) return;
+  next_cleanup_ = now + cleanup_interval;
+  erase_expired(monitored_, now);
+  erase_expired(suspects_, now);
+  erase_expired(local_holds_, now);
+}
+
+void crash_monitor::tick() {
+  apply_own_verdicts();
+  apply_releases();
+  remove_expired();
+}
+
+}  // namespace trestlepost::gateway
--- a/gateway/src/routed_request.cc
+++ b/gateway/src/routed_request.cc
@@ -8,9 +8,9 @@
 
 const std::string& routed_request::fingerprint(std::string_view secret) {
   if (fingerprint_.empty()) {
-    const request_identity own{head.passthrough_header("Authorization"),
-                               head.method, head.host, head.target, body};
-    fingerprint_ = fingerprint_of(own, secret);
+    const request_identity identity{head.passthrough_header("Authorization"),
+                                    head.method, head.host, head.target, body};
+    fingerprint_ = fingerprint_of(identity, secret);
   }
   return fingerprint_;
 }
@@ -28,7 +28,7 @@
   return out;
 }
 
-routing::latency_requirements expectation_of(const routed_request& request,
+routing::latency_requirements latency_requirements_of(const routed_request& request,
                                              monotonic_time now) {
   return {request.route->latency_objective,
           std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/node/src/ledger_service.h
+++ b/node/src/ledger_service.h
@@ -17,7 +17,7 @@
 
 /// Claims run-once requests in the region's replicated ledger, so that at most
 /// one attempt of each runs.
-class ledger_service final : public gateway::run_once,
+class ledger_service final : public gateway::ledger_client,
                              public ledger::command_proposer,
                              public consensus::message_sink {
  public:
--- a/node/src/routed_gateway.h
+++ b/node/src/routed_gateway.h
@@ -22,7 +22,7 @@
   /// `control` is null on a node that is not a control node. `others` handles
   /// forwarded requests that were not routed by a traffic plan.
   routed_gateway(node_context& context, gateway::gateway_context& gateway,
-                 gateway::crash_watch& crashes, control_service* control,
+                 gateway::crash_monitor& crashes, control_service* control,
                  transport::http_handler& others);
 
   void start();
