--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -14,16 +14,16 @@
 using std::chrono::milliseconds;
 
 // Watchers that lost their leader poll the new one within this time.
-constexpr milliseconds acquaintance_time{1000};
+constexpr milliseconds watcher_discovery_time{1000};
 constexpr milliseconds join_interval{400};
 // Delay between attempts to restart the replica from disk after a failed
 // write.
 constexpr milliseconds restart_interval{500};
 // A proposed change without an outcome after this time is no longer tracked.
-constexpr milliseconds waiting_lifetime{30'000};
+constexpr milliseconds pending_change_lifetime{30'000};
 constexpr milliseconds founding_timeout{5000};
 // Longer than an election takes.
-constexpr milliseconds kept_poll_lifetime{2000};
+constexpr milliseconds saved_poll_lifetime{2000};
 // In election timeouts: a new leader founds ledgers only after this delay, when
 // it has received the polls of all nodes.
 constexpr int ledger_founding_delay = 4;
@@ -122,9 +122,9 @@
   if (growth_.handle_join(*host_, now, joiner, address)) return;
   const std::string leader = leader_node();
   if (leader.empty() || flag_of(params, "passed_on")) return;
-  json onward = params;
-  onward["passed_on"] = true;
-  context_.links.send(address_of(leader), "config.join", onward);
+  json forwarded = params;
+  forwarded["passed_on"] = true;
+  context_.links.send(address_of(leader), "config.join", forwarded);
 }
 
 std::string control_service::leader_address() const {
@@ -159,7 +159,7 @@
       });
   peers.add_notification("crash.report", [this](const json& params,
                                                 const transport::rpc_context&) {
-    judge_.handle_report(params);
+    hold_proposer_.handle_report(params);
   });
   peers.add_notification("config.probe", [this](const json& params,
                                                 const transport::rpc_context&) {
@@ -187,7 +187,7 @@
   return leader ? leader->node : "";
 }
 
-std::string control_service::meet_asker(const json& params) {
+std::string control_service::identify_poller(const json& params) {
   const monotonic_time now = context_.clock.now();
   const json& alive = member_of(params, "alive");
   if (!alive.isObject()) {
@@ -195,12 +195,12 @@
         membership::heartbeat_from(member_of(params, "heartbeat"));
     if (!leads()) return "";
     context_.nodes.observe(beat, now);
-    book_.record(beat.node);
+    node_directory_.record(beat.node);
     return beat.node.name;
   }
   const std::string name = text_of(alive, "name");
   const std::uint64_t incarnation = number_of(alive, "incarnation");
-  const membership::node_info* met = book_.find(name);
+  const membership::node_info* met = node_directory_.find(name);
   const bool in_book = met != nullptr && met->incarnation == incarnation;
   const bool known =
       in_book && context_.nodes.observe_alive(
@@ -209,15 +209,15 @@
   return known ? name : "";
 }
 
-void control_service::pass_poll_on(const json& params) {
+void control_service::forward_poll(const json& params) {
   const std::string leader = leader_address();
   const bool passed_on = !text_of(params, "via").empty();
   if (passed_on || leader.empty() || leader == context_.self.peer_address) {
     return;
   }
-  json onward = params;
-  onward["via"] = context_.self.peer_address;
-  context_.links.send(leader, "config.poll", onward);
+  json forwarded = params;
+  forwarded["via"] = context_.self.peer_address;
+  context_.links.send(leader, "config.poll", forwarded);
 }
 
 void control_service::handle_poll(const json& params) {
@@ -226,13 +226,13 @@
   const std::string address =
       alive.isObject() ? text_of(alive, "address")
                        : text_of(member_of(beat, "node"), "peer_address");
-  const std::string asker = meet_asker(params);
+  const std::string poller = identify_poller(params);
   const std::string via = text_of(params, "via");
   json answer;
   answer["token"] = as_number(number_of(params, "token"));
   answer["leader"] = leader_node();
   answer["leader_address"] = leader_address();
-  if (leads() && asker.empty()) {
+  if (leads() && poller.empty()) {
     // The sender's region is needed to select directory entries, so it must
     // send its full heartbeat first.
     answer["stranger"] = true;
@@ -240,47 +240,48 @@
     watchers_.lead_in(host_->core().term());
     // Send the configuration first, so that it is in force when the answer
     // arrives.
-    const json& sign = alive.isObject() ? alive : beat;
-    watchers_.polled({asker, address, via, number_of(sign, "sequence"),
+    const json& sender = alive.isObject() ? alive : beat;
+    watchers_.polled({poller, address, via, number_of(sender, "sequence"),
                       number_of(params, "revision"),
                       flag_of(params, "missed")});
     orders_.acknowledge_confirmed();
     answer["confirmed"] = true;
-    answer["update"] =
-        make_news(number_of(params, "book_version"), book_.find(asker)->region);
+    answer["update"] = make_update(number_of(params, "book_version"),
+                                   node_directory_.find(poller)->region);
   }
   // A node that does not lead sends no configuration: its copy may be
   // outdated, and a gateway using it could run requests outside their home
   // regions.
   if (!leads()) {
-    pass_poll_on(params);
-    if (via.empty()) keep_poll(address, params);
+    forward_poll(params);
+    if (via.empty()) save_poll(address, params);
   }
   if (!via.empty()) answer["for"] = address;
   context_.links.send(via.empty() ? address : via, "config.update", answer);
 }
 
-void control_service::keep_poll(const std::string& address,
+void control_service::save_poll(const std::string& address,
                                 const json& params) {
-  kept_polls_[address] = {params, context_.clock.now()};
+  saved_polls_[address] = {params, context_.clock.now()};
 }
 
-void control_service::answer_kept_polls() {
-  if (kept_polls_.empty()) return;
+void control_service::answer_saved_polls() {
+  if (saved_polls_.empty()) return;
   const monotonic_time now = context_.clock.now();
-  std::erase_if(kept_polls_, [now](const auto& it) {
-    return it.second.at + kept_poll_lifetime < now;
+  std::erase_if(saved_polls_, [now](const auto& it) {
+    return it.second.at + saved_poll_lifetime < now;
   });
   if (!leads()) return;
-  const std::map<std::string, kept_poll> kept = std::exchange(kept_polls_, {});
-  for (const auto& [address, it] : kept) handle_poll(it.params);
+  const std::map<std::string, saved_poll> saved =
+      std::exchange(saved_polls_, {});
+  for (const auto& [address, it] : saved) handle_poll(it.params);
 }
 
-json control_service::make_news(std::uint64_t book_version,
-                                const std::string& region) const {
+json control_service::make_update(std::uint64_t directory_version,
+                                  const std::string& region) const {
   json out;
   out["to"] = as_number(machine_.store().revision());
-  book_.add_news(out, book_version, region);
+  node_directory_.add_changes(out, directory_version, region);
   json& ledgers = out["ledgers"] = json(Json::arrayValue);
   for (const auto& [name, it] : machine_.ledgers()) {
     ledgers.append(config::to_json(it));
@@ -296,10 +297,10 @@
              {"operator", record.operator_name},
              {"status", std::string(to_string(record.outcome.status))},
              {"revision", std::to_string(record.outcome.revision)}});
-  const auto it = waiting_.find(record.change_id);
-  if (it != waiting_.end()) {
+  const auto it = pending_changes_.find(record.change_id);
+  if (it != pending_changes_.end()) {
     const std::vector<answer_function> answers = std::move(it->second.answers);
-    waiting_.erase(it);
+    pending_changes_.erase(it);
     for (const answer_function& answer : answers) {
       answer(config::to_json(record.outcome));
     }
@@ -317,17 +318,17 @@
   }
   const std::string id = asked.id;
   asked.at = context_.clock.wall_now();
-  waiting_change& waiting = waiting_[id];
-  waiting.since = context_.clock.now();
-  waiting.answers.push_back(answer);
+  pending_change& pending = pending_changes_[id];
+  pending.since = context_.clock.now();
+  pending.answers.push_back(answer);
   const result<consensus::log_index> proposed =
       host_->propose(context_.clock.now(), config::encode_change(asked));
   if (proposed) return;
-  waiting_.erase(id);
+  pending_changes_.erase(id);
   answer(tl::make_unexpected(proposed.error()));
 }
 
-bool control_service::hears_leader() const {
+bool control_service::follows_leader() const {
   const std::string leader = leader_node();
   return !leader.empty() && leader != context_.self.name;
 }
@@ -336,7 +337,7 @@
   const std::optional<monotonic_time> since = growth_.leading_since();
   const monotonic_time now = context_.clock.now();
   // A new leader does not know all watchers until they have polled it.
-  const bool known = since && *since + acquaintance_time <= now;
+  const bool known = since && *since + watcher_discovery_time <= now;
   return known && watchers_.held_by_all() >= revision;
 }
 
@@ -444,7 +445,7 @@
   answer(out);
 }
 
-void control_service::ask_to_join() {
+void control_service::request_join() {
   const monotonic_time now = context_.clock.now();
   if (now < next_join_ || !host_->needs_join(now)) return;
   next_join_ = now + join_interval;
@@ -499,25 +500,25 @@
   }
 }
 
-void control_service::note_lease() {
+void control_service::log_lease_changes() {
   const monotonic_time now = context_.clock.now();
   const bool holds = leads();
-  if (holds == held_lease_) return;
+  if (holds == had_lease_) return;
   const consensus::replica& core = host_->core();
   if (!holds && !core.is_leader()) {
-    held_lease_ = false;
+    had_lease_ = false;
     return;
   }
   const std::string term = std::to_string(core.term());
   if (holds && lease_lapsed_at_ != monotonic_time()) {
-    const milliseconds without =
+    const milliseconds lapsed_for =
         std::chrono::duration_cast<milliseconds>(now - lease_lapsed_at_);
     log_event(log_level::info, "lease-renewed",
-              {{"term", term}, {"ms", std::to_string(without.count())}});
+              {{"term", term}, {"ms", std::to_string(lapsed_for.count())}});
   } else if (!holds) {
     log_event(log_level::warn, "lease-lapsed", {{"term", term}});
   }
-  held_lease_ = holds;
+  had_lease_ = holds;
   lease_lapsed_at_ = holds ? monotonic_time() : now;
 }
 
@@ -525,15 +526,15 @@
   const monotonic_time now = context_.clock.now();
   restart_after_failure();
   host_->tick(now);
-  note_lease();
-  upkeep_.tick(host_->core());
+  log_lease_changes();
+  maintenance_.tick(host_->core());
   orders_.tick();
-  ask_to_join();
+  request_join();
   found_ledgers();
-  judge_.tick(leads());
-  answer_kept_polls();
-  std::erase_if(waiting_, [now](const auto& it) {
-    return it.second.since + waiting_lifetime < now;
+  hold_proposer_.tick(leads());
+  answer_saved_polls();
+  std::erase_if(pending_changes_, [now](const auto& it) {
+    return it.second.since + pending_change_lifetime < now;
   });
   if (founding_ && now >= founding_->started_at + founding_timeout) {
     const answer_function answer = std::move(founding_->answer);
--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -12,11 +12,11 @@
 #include <vector>
 
 #include "config_watchers.h"
-#include "crash_judge.h"
+#include "group_maintenance.h"
 #include "group_orders.h"
-#include "group_upkeep.h"
-#include "node_book.h"
+#include "hold_proposer.h"
 #include "node_context.h"
+#include "node_directory.h"
 #include "ticket_table.h"
 #include "trestlepost/config/state_machine.h"
 #include "trestlepost/consensus/group_growth.h"
@@ -28,7 +28,7 @@
 class control_service final : public consensus::message_sink {
  public:
   explicit control_service(node_context& context)
-      : context_(context), upkeep_(context, [this](const std::string& it) {
+      : context_(context), maintenance_(context, [this](const std::string& it) {
           return address_of(it);
         }) {}
 
@@ -66,9 +66,9 @@
   /// The leader's peer address, or empty.
   std::string leader_address() const;
   /// Whether the last known leader is another node.
-  bool hears_leader() const;
+  bool follows_leader() const;
   /// Whether any leader is known, this node included.
-  bool knows_leader() const { return is_leader() || hears_leader(); }
+  bool knows_leader() const { return is_leader() || follows_leader(); }
   /// Whether all reachable watchers have applied the revision. False while a
   /// new leader may not know all watchers yet.
   bool is_confirmed(config::revision_number revision) const;
@@ -87,11 +87,11 @@
   }
 
  private:
-  struct waiting_change {
+  struct pending_change {
     std::vector<answer_function> answers;
     monotonic_time since;
   };
-  struct kept_poll {
+  struct saved_poll {
     json params;
     monotonic_time at;
   };
@@ -104,56 +104,58 @@
   void register_peer_methods();
   /// Forwards a poll to the leader for a node that may not be able to reach
   /// it. The answer returns through this node.
-  void pass_poll_on(const json& params);
+  void forward_poll(const json& params);
   void handle_poll(const json& params);
   /// Saves a poll received while this node does not lead, in case it is
   /// elected soon.
-  void keep_poll(const std::string& address, const json& params);
+  void save_poll(const std::string& address, const json& params);
   /// Answers the polls saved before this node was elected. A gateway that has
   /// just started serves no requests until a leader has answered it.
-  void answer_kept_polls();
+  void answer_saved_polls();
   /// Records the sender of a poll and returns its name. Returns an empty name
   /// when the sender is not in the directory and must send its full heartbeat.
-  std::string meet_asker(const json& params);
+  std::string identify_poller(const json& params);
   void handle_probe(const json& params);
   void handle_probe_answer(const json& params);
   /// The part of an answer to a poll that only the leader sends: the
   /// revision, new or changed nodes, and the ledgers.
-  json make_news(std::uint64_t book_version, const std::string& region) const;
+  json make_update(std::uint64_t directory_version,
+                   const std::string& region) const;
   void on_decided(const config::audit_record& record);
   void finish_founding_if_ready();
   /// The founding of a ledger in `region`; without members when the region
   /// has too few live nodes.
   config::ledger_founding new_ledger(const std::string& region) const;
   void found_ledgers();
-  void ask_to_join();
+  void request_join();
   void found_from_seeds();
   std::unique_ptr<consensus::storage> open_storage() const;
   void restart_after_failure();
   /// Logs when this leader's lease lapses while no other node is elected, and
   /// when it is renewed.
-  void note_lease();
+  void log_lease_changes();
   void handle_join(const json& params);
   std::string address_of(const std::string& node) const;
 
   node_context& context_;
-  group_upkeep upkeep_;
+  group_maintenance maintenance_;
   config::config_state_machine machine_;
   std::unique_ptr<consensus::group_host> host_;
-  consensus::group_growth growth_{context_.heard_from};
+  consensus::group_growth growth_{context_.observed_addresses};
   config_watchers watchers_{context_, machine_};
-  crash_judge judge_{context_, machine_.store(), [this](config::change asked) {
-                       propose(std::move(asked), [](const result<json>&) {});
-                     }};
+  hold_proposer hold_proposer_{
+      context_, machine_.store(), [this](config::change asked) {
+        propose(std::move(asked), [](const result<json>&) {});
+      }};
   group_orders orders_{context_, *this};
-  node_book book_;
-  std::map<std::string, waiting_change> waiting_;
-  std::map<std::string, kept_poll> kept_polls_;  // the latest, by address
+  node_directory node_directory_;
+  std::map<std::string, pending_change> pending_changes_;
+  std::map<std::string, saved_poll> saved_polls_;  // the latest, by address
   std::optional<founding> founding_;
   monotonic_time next_join_;
   monotonic_time next_restart_;
   std::uint64_t next_read_ = 1;
-  bool held_lease_ = false;
+  bool had_lease_ = false;
   monotonic_time lease_lapsed_at_;
   std::set<std::string> proposed_ledgers_;
 };
--- a/node/src/crash_reporter.h
+++ b/node/src/crash_reporter.h
@@ -23,16 +23,16 @@
 
  private:
   /// A crash, or a successful completion when `endpoint` is empty.
-  struct kept_report {
-    routing::crash_report what;
+  struct pending_report {
+    routing::crash_report report;
     monotonic_time next_send{};
-    std::chrono::milliseconds pause{};
+    std::chrono::milliseconds delay{};
   };
 
-  void keep(const routing::crash_report& what);
+  void enqueue(const routing::crash_report& report);
 
   node_context& context_;
-  std::deque<kept_report> kept_;
+  std::deque<pending_report> pending_;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/digest_service.cc
+++ b/node/src/digest_service.cc
@@ -14,22 +14,22 @@
 
 // In heartbeat intervals: a relay that has not answered for this long is
 // skipped.
-constexpr int unanswered_beats = 4;
+constexpr int relay_timeout_heartbeats = 4;
 // The second relay, usually a gateway, gets one heartbeat in this many:
 // receiving and answering every heartbeat of a large region took most of a
 // small VM's CPU. Three intervals are within the time after which a silent node
 // is suspected.
-constexpr std::uint64_t beats_to_second = 3;
+constexpr std::uint64_t second_relay_period = 3;
 // In heartbeat intervals: digests include the age of a node's last heartbeat
 // once it is older than this.
-constexpr int late_beats = 3;
+constexpr int late_heartbeats = 3;
 // Service loads of other regions go into every second digest; they arrive only
 // every 300 ms.
-constexpr std::uint64_t rounds_per_services = 2;
+constexpr std::uint64_t rounds_per_service_loads = 2;
 // Other regions cannot request lost digests. They get this many full digests
 // after each change, and another one at this interval.
-constexpr int whole_after_change = 3;
-constexpr milliseconds whole_interval{3000};
+constexpr int full_digests_after_change = 3;
+constexpr milliseconds full_digest_interval{3000};
 
 }  // namespace
 
@@ -45,8 +45,9 @@
   context_.peers.add_notification(
       "region.digest",
       [this](const json& params, const transport::rpc_context&) {
-        if (!take(member_of(params, "digest"))) return;
-        if (!flag_of(params, "passed_on")) pass_on("region.digest", params);
+        if (!apply_digest(member_of(params, "digest"))) return;
+        if (!flag_of(params, "passed_on"))
+          forward_in_region("region.digest", params);
       });
 }
 
@@ -54,7 +55,7 @@
   return heartbeat_interval(context_);
 }
 
-bool digest_service::take(const json& params) {
+bool digest_service::apply_digest(const json& params) {
   const result<membership::region_digest> in =
       membership::region_digest_from(params);
   if (!in) {
@@ -78,56 +79,59 @@
 }
 
 void digest_service::handle_digest(const json& params) {
-  if (take(params) && on_sums) on_sums();
+  if (apply_digest(params) && on_digest) on_digest();
 }
 
 std::vector<std::string> digest_service::relays() const {
   const monotonic_time now = context_.clock.now();
-  const std::map<std::string, std::string> mates = region_mates(context_);
-  std::vector<membership::relay_candidate> heard;
+  const std::map<std::string, std::string> peer_addresses =
+      peers_in_region(context_);
+  std::vector<membership::relay_candidate> reachable;
   std::vector<membership::relay_candidate> all;
-  for (const auto& [name, address] : mates) {
+  for (const auto& [name, address] : peer_addresses) {
     const node_record* it = context_.nodes.find(name);
     const bool leaving =
         it != nullptr && it->last.state == membership::node_states::draining;
-    const auto entry = context_.book.find(name);
-    const bool control =
-        it != nullptr ? it->last.node.control
-                      : entry != context_.book.end() && entry->second.control;
+    const auto entry = context_.known_nodes.find(name);
+    const bool control = it != nullptr ? it->last.node.control
+                                       : entry != context_.known_nodes.end() &&
+                                             entry->second.control;
     all.push_back({name, leaving, control});
     const bool known = it != nullptr && context_.nodes.state_of(*it, now) !=
                                             membership::peer_state::dead;
-    if (known) heard.push_back({name, leaving, control});
+    if (known) reachable.push_back({name, leaving, control});
   }
-  const bool enough = heard.size() >= membership::relays_per_region;
-  return choice_.choose(context_.self.region, enough ? heard : all,
-                        unanswered_beats * interval(), now);
+  const bool enough = reachable.size() >= membership::relays_per_region;
+  return choice_.choose(context_.self.region, enough ? reachable : all,
+                        relay_timeout_heartbeats * interval(), now);
 }
 
 void digest_service::send_to_relays(const json& heartbeat) {
   const monotonic_time now = context_.clock.now();
-  const std::map<std::string, std::string> mates = region_mates(context_);
+  const std::map<std::string, std::string> peer_addresses =
+      peers_in_region(context_);
   std::vector<std::string> chosen = relays();
-  const bool to_second = beats_++ % beats_to_second == 0;
-  if (!to_second && !chosen.empty()) chosen.resize(1);
+  const bool to_second_relay = relay_heartbeats_++ % second_relay_period == 0;
+  if (!to_second_relay && !chosen.empty()) chosen.resize(1);
   for (const std::string& name : chosen) {
     json params = heartbeat;
     params["ask"] = membership::to_json(reader_.ask_for(name));
     choice_.asked(name, now);
-    context_.links.send(mates.at(name), "node.heartbeat", params);
+    context_.links.send(peer_addresses.at(name), "node.heartbeat", params);
   }
 }
 
-void digest_service::note_ask(const json& heartbeat,
-                              const membership::node_info& sender) {
+void digest_service::record_digest_request(
+    const json& heartbeat, const membership::node_info& sender) {
   const json& ask = member_of(heartbeat, "ask");
   if (!ask.isObject()) return;
-  askers_[sender.name] = {sender.peer_address, membership::digest_ask_from(ask),
-                          context_.clock.now(), true};
+  requesters_[sender.name] = {sender.peer_address,
+                              membership::digest_ask_from(ask),
+                              context_.clock.now(), true};
 }
 
-digest_service::shared_news digest_service::gather() const {
-  shared_news out;
+digest_service::shared_content digest_service::collect_shared_content() const {
+  shared_content out;
   const monotonic_time now = context_.clock.now();
   const std::string& region = context_.self.region;
   out.sums = membership::sum_of(context_.nodes, region, now);
@@ -135,7 +139,7 @@
     if (!context_.nodes.has_fresh_load(*it, now)) continue;
     out.reports.insert(it->last.reports.begin(), it->last.reports.end());
   }
-  if (round_ % rounds_per_services != 0) return out;
+  if (digest_round_ % rounds_per_service_loads != 0) return out;
   for (const std::string& it : other_regions(context_)) {
     out.services[it] = membership::service_means(context_.nodes, it, now);
   }
@@ -143,16 +147,17 @@
 }
 
 void digest_service::update_writer() {
-  writer_.update(context_.nodes, late_beats * interval(), context_.clock.now());
+  writer_.update(context_.nodes, late_heartbeats * interval(),
+                 context_.clock.now());
 }
 
-void digest_service::answer(const std::string& name, const asker& it,
-                            const shared_news& news) {
+void digest_service::send_digest(const std::string& name, const requester& it,
+                                 const shared_content& content) {
   const monotonic_time now = context_.clock.now();
-  membership::region_digest out = writer_.next(it.has, std::nullopt);
-  out.services = news.services;
-  out.sums = membership::without(news.sums, context_.nodes, name, now);
-  out.reports = news.reports;
+  membership::region_digest out = writer_.next(it.known, std::nullopt);
+  out.services = content.services;
+  out.sums = membership::without(content.sums, context_.nodes, name, now);
+  out.reports = content.reports;
   const node_record* receiver = context_.nodes.find(name);
   if (receiver != nullptr) {
     for (const auto& [endpoint, own] : receiver->last.reports) {
@@ -162,18 +167,18 @@
   context_.links.send(it.address, "node.digest", membership::to_json(out));
 }
 
-void digest_service::answer_asks() {
+void digest_service::answer_digest_requests() {
   const monotonic_time oldest =
       context_.clock.now() - context_.nodes.options().suspect_after;
-  std::erase_if(askers_, [oldest](const auto& it) {
-    return it.second.asked_at < oldest;
+  std::erase_if(requesters_, [oldest](const auto& it) {
+    return it.second.requested_at < oldest;
   });
-  if (askers_.empty()) return;
-  ++round_;
+  if (requesters_.empty()) return;
+  ++digest_round_;
   update_writer();
-  const shared_news news = gather();
-  for (auto& [name, it] : askers_) {
-    if (it.waiting) answer(name, it, news);
+  const shared_content content = collect_shared_content();
+  for (auto& [name, it] : requesters_) {
+    if (it.waiting) send_digest(name, it, content);
     it.waiting = false;
   }
 }
@@ -184,16 +189,18 @@
   const std::string& region = context_.self.region;
   update_writer();
   const std::uint64_t version = writer_.version_of(region);
-  if (version != told_version_) whole_left_ = whole_after_change;
-  if (whole_left_ == 0 && now >= next_whole_) whole_left_ = 1;
-  told_version_ = version;
-  membership::digest_ask has{writer_.life(), version};
-  if (whole_left_ > 0) {
-    has = {};
-    --whole_left_;
-    next_whole_ = now + whole_interval;
+  if (version != last_sent_version_)
+    full_digests_left_ = full_digests_after_change;
+  if (full_digests_left_ == 0 && now >= next_full_digest_)
+    full_digests_left_ = 1;
+  last_sent_version_ = version;
+  membership::digest_ask known{writer_.life(), version};
+  if (full_digests_left_ > 0) {
+    known = {};
+    --full_digests_left_;
+    next_full_digest_ = now + full_digest_interval;
   }
-  membership::region_digest out = writer_.next(has, region);
+  membership::region_digest out = writer_.next(known, region);
   out.services[region] = membership::service_means(context_.nodes, region, now);
   json params;
   params["digest"] = membership::to_json(out);
@@ -202,31 +209,34 @@
   }
 }
 
-void digest_service::pass_on(const char* method, const json& params) {
-  json onward = params;
-  onward["passed_on"] = true;
-  const std::map<std::string, std::string> mates = region_mates(context_);
-  if (!sends_by_relays(context_)) {
-    for (const auto& [name, address] : mates) {
-      context_.links.send(address, method, onward);
+void digest_service::forward_in_region(const char* method, const json& params) {
+  json forwarded = params;
+  forwarded["passed_on"] = true;
+  const std::map<std::string, std::string> peer_addresses =
+      peers_in_region(context_);
+  if (!uses_relays(context_)) {
+    for (const auto& [name, address] : peer_addresses) {
+      context_.links.send(address, method, forwarded);
     }
     return;
   }
   // Nodes that request digests get it with their next one.
-  if (!askers_.empty()) return;
+  if (!requesters_.empty()) return;
   for (const std::string& it : relays()) {
-    context_.links.send(mates.at(it), method, onward);
+    context_.links.send(peer_addresses.at(it), method, forwarded);
   }
 }
 
-membership::endpoint_sums digest_service::others() const {
+membership::endpoint_sums digest_service::other_gateways() const {
   const monotonic_time now = context_.clock.now();
-  membership::endpoint_sums heard = membership::without(
+  membership::endpoint_sums direct_sums = membership::without(
       membership::sum_of(context_.nodes, context_.self.region, now),
       context_.nodes, context_.self.name, now);
-  const membership::endpoint_sums* told =
+  const membership::endpoint_sums* relay_sums =
       reader_.best_sums(now - context_.nodes.options().suspect_after);
-  return told != nullptr && told->nodes > heard.nodes ? *told : heard;
+  return relay_sums != nullptr && relay_sums->nodes > direct_sums.nodes
+             ? *relay_sums
+             : direct_sums;
 }
 
 }  // namespace trestlepost::node
--- a/node/src/digest_service.h
+++ b/node/src/digest_service.h
@@ -30,30 +30,31 @@
   /// received from each.
   void send_to_relays(const json& heartbeat);
   /// Records the digest request in a heartbeat, if it has one.
-  void note_ask(const json& heartbeat, const membership::node_info& sender);
+  void record_digest_request(const json& heartbeat,
+                             const membership::node_info& sender);
   /// Sends a digest to each node with an unanswered recent request.
-  void answer_asks();
+  void answer_digest_requests();
   /// Sends a digest of this region to the nodes at `addresses`, one in each
   /// other region.
   void send_to_regions(const std::vector<std::string>& addresses);
   /// Forwards data about another region to the nodes of this region that would
   /// not get it in a digest.
-  void pass_on(const char* method, const json& params);
+  void forward_in_region(const char* method, const json& params);
 
   /// The requests in flight from the region's other gateways.
-  membership::endpoint_sums others() const;
+  membership::endpoint_sums other_gateways() const;
   /// Called after a digest with new data was received.
-  std::function<void()> on_sums;
+  std::function<void()> on_digest;
 
  private:
-  struct asker {
+  struct requester {
     std::string address;
-    membership::digest_ask has;
-    monotonic_time asked_at;
+    membership::digest_ask known;
+    monotonic_time requested_at;
     bool waiting = false;  // request not answered yet
   };
   /// The content that is the same in the digests to all requesters.
-  struct shared_news {
+  struct shared_content {
     membership::endpoint_sums sums;
     std::map<std::string, membership::service_loads> services;
     std::map<std::string, membership::reported_load> reports;
@@ -61,25 +62,25 @@
 
   void handle_digest(const json& params);
   /// Applies a digest; false when it had nothing new.
-  bool take(const json& params);
+  bool apply_digest(const json& params);
   /// The names of the relays that this node sends its heartbeats to.
   std::vector<std::string> relays() const;
-  shared_news gather() const;
+  shared_content collect_shared_content() const;
   void update_writer();
-  void answer(const std::string& name, const asker& it,
-              const shared_news& news);
+  void send_digest(const std::string& name, const requester& it,
+                   const shared_content& content);
 
   node_context& context_;
   membership::digest_writer writer_;
   membership::digest_reader reader_;
   membership::relay_choice choice_;
-  std::map<std::string, asker> askers_;  // by name
-  std::uint64_t round_ = 0;              // of digests to requesters
-  std::uint64_t beats_ = 0;              // number of heartbeats sent to relays
+  std::map<std::string, requester> requesters_;  // by name
+  std::uint64_t digest_round_ = 0;               // of digests to requesters
+  std::uint64_t relay_heartbeats_ = 0;  // number of heartbeats sent to relays
   /// The version of this region's data last sent to other regions.
-  std::uint64_t told_version_ = 0;
-  int whole_left_ = 0;  // full digests still due to other regions
-  monotonic_time next_whole_;
+  std::uint64_t last_sent_version_ = 0;
+  int full_digests_left_ = 0;  // full digests still due to other regions
+  monotonic_time next_full_digest_;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/listing_pages.h
+++ b/node/src/endpoint_list_pages.h
@@ -11,7 +11,7 @@
 namespace trestlepost::node {
 
 /// The size of the list at the last full read.
-struct listing_size {
+struct endpoint_list_size {
   std::size_t pages = 0;      // 0: not read yet
   std::size_t page_size = 0;  // entries of the largest page
   /// Number of entries by availability zone of the own region.
@@ -20,6 +20,6 @@
 
 /// The zones to read one after the other; an empty name stands for the full
 /// list.
-std::vector<std::string> zones_to_read(const listing_size& last);
+std::vector<std::string> zones_to_read(const endpoint_list_size& last);
 
 }  // namespace trestlepost::node
--- a/node/src/listing_service.h
+++ b/node/src/endpoint_list_service.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "listing_news.h"
-#include "listing_pages.h"
+#include "endpoint_list_pages.h"
+#include "endpoint_list_updates.h"
 #include "node_context.h"
 #include "settled_revision.h"
 #include "trestlepost/surface/endpoint_directory.h"
@@ -19,10 +19,10 @@
 
 /// Polls the platform when this gateway is the reader, and applies the reader's
 /// updates otherwise.
-class listing_service {
+class endpoint_list_service {
  public:
-  listing_service(node_context& context,
-                  const surface::endpoint_directory* directory);
+  endpoint_list_service(node_context& context,
+                        const surface::endpoint_directory* directory);
 
   void start();
   void tick();
@@ -46,58 +46,58 @@
                                        surface::endpoint_page& all);
   /// Records when each configuration revision came into force, and forces a
   /// read when the first one lists ended evacuations.
-  void note_configuration();
+  void track_configuration();
   /// The zones to read now; an empty name stands for the full list.
   std::vector<std::string> next_zones();
   /// Counts the entries of each zone of the own region.
-  void measure(const std::vector<surface::listed_endpoint>& all);
+  void count_zone_entries(const std::vector<surface::listed_endpoint>& all);
   bool is_in_own_region(const surface::listed_endpoint& it) const;
   std::vector<surface::listed_endpoint> in_other_regions(
       std::vector<surface::listed_endpoint> all) const;
-  void handle_news(const json& params);
-  void handle_ask(const json& params);
+  void handle_update(const json& params);
+  void handle_list_request(const json& params);
   /// The order of readers among the gateways known to this node.
-  reading_order order() const;
+  reader_ranking ranking() const;
   /// Whether `gateway` is live, or its first heartbeat may still be due.
-  bool may_live(const std::string& gateway) const;
+  bool may_be_live(const std::string& gateway) const;
   /// Whether this node should read the list now. When not, and it has no list
   /// yet, requests one from the reader.
   bool should_read();
   /// Whether the list read by this node is sent to the other gateways.
-  bool tells() const;
+  bool publishes_list() const;
   /// Requests the full list from `gateway`.
-  void ask(const std::string& gateway);
-  void tell(const std::string& gateway, const std::string& address);
-  transport::packed_notification pack_news(std::uint64_t since) const;
-  void tell_others();
+  void request_list(const std::string& gateway);
+  void send_update(const std::string& gateway, const std::string& address);
+  transport::packed_notification pack_update(std::uint64_t since) const;
+  void send_updates();
   /// Records that a list was received from `reader`, and logs a change of
   /// reader.
-  void heard_from(const std::string& reader);
+  void record_reader(const std::string& reader);
 
   node_context& context_;
   const surface::endpoint_directory* directory_;
-  listing_writer writer_;
-  listing_copy copy_;
+  endpoint_list_publisher publisher_;
+  endpoint_list_copy copy_;
   monotonic_time next_read_;
-  monotonic_time next_ask_;
+  monotonic_time next_request_;
   monotonic_time next_check_;  // of who should read
   bool took_over_ = false;     // reads because the reader sends no updates
   monotonic_time started_at_;
-  monotonic_time heard_at_;  // or when the service started
-  monotonic_time read_at_;   // when this node last read the list
-  bool heard_ = false;       // has a list, read or received
-  std::string last_reader_;  // the node that read the current list
+  monotonic_time list_received_at_;  // or when the service started
+  monotonic_time read_at_;           // when this node last read the list
+  bool has_list_ = false;            // has a list, read or received
+  std::string last_reader_;          // the node that read the current list
   settled_revision configured_;
-  bool must_read_ = false;  // even if this node is not the reader
+  bool read_forced_ = false;  // even if this node is not the reader
   /// When the leader first sent entries of its node directory.
-  std::optional<monotonic_time> book_since_;
-  listing_size size_;
-  monotonic_time next_whole_;
+  std::optional<monotonic_time> directory_received_at_;
+  endpoint_list_size size_;
+  monotonic_time next_full_read_;
   /// From the last full list; reads by zone cover the own region only.
-  std::vector<surface::listed_endpoint> elsewhere_;
+  std::vector<surface::listed_endpoint> other_region_endpoints_;
   unreadable_entries unreadable_;
   bool reading_ = false;
-  bool lost_ = false;  // the last read failed
+  bool last_read_failed_ = false;  // the last read failed
 };
 
 }  // namespace trestlepost::node
--- a/node/src/listing_news.cc
+++ b/node/src/endpoint_list_updates.cc
@@ -1,4 +1,4 @@
-#include "listing_news.h"
+#include "endpoint_list_updates.h"
 
 #include <algorithm>
 #include <set>
@@ -14,51 +14,52 @@
 using surface::start_time;
 
 // Each gateway is sent the full list at this interval, whatever version it has.
-constexpr milliseconds whole_interval{10'000};
+constexpr milliseconds full_list_interval{10'000};
 // Receivers count durations down themselves. A duration is sent again when it
 // differs from the count by more than this.
-constexpr milliseconds span_tolerance{500};
+constexpr milliseconds duration_tolerance{500};
 // How long removed endpoints are remembered; longer than the interval between
 // two full lists to any gateway.
-constexpr milliseconds gone_memory{60'000};
+constexpr milliseconds removed_lifetime{60'000};
 
 // A gateway without a list whose read failed retries after this delay plus a
 // random delay of up to the same length. Without the random part, gateways that
 // restart together would exceed the platform's rate limit together again.
-constexpr milliseconds first_list_retry{150};
+constexpr milliseconds initial_retry_delay{150};
 
 // By how much later each gateway takes over than the one ranked before it. The
 // step leaves time to receive the update of the one that took over. The first
 // ranks all fail only in a large outage, so later ranks use a short step: the
 // last of a hundred gateways waits about 4 s more than the first.
-constexpr std::size_t ranks_far_apart = 8;
-constexpr milliseconds takeover_step{300};
-constexpr milliseconds late_takeover_step{20};
+constexpr std::size_t long_step_ranks = 8;
+constexpr milliseconds long_takeover_step{300};
+constexpr milliseconds short_takeover_step{20};
 
 /// What is left of `span` when `by` has passed.
-milliseconds shrunk(milliseconds span, milliseconds by) {
+milliseconds remaining(milliseconds span, milliseconds by) {
   return std::max(milliseconds(0), span - by);
 }
 
-bool near(milliseconds a, milliseconds b) {
-  return (a > b ? a - b : b - a) <= span_tolerance;
+bool nearly_equal(milliseconds a, milliseconds b) {
+  return (a > b ? a - b : b - a) <= duration_tolerance;
 }
 
 /// By how much the second full list to this gateway is sent earlier.
-milliseconds time_ahead(const std::string& gateway) {
+milliseconds full_list_offset(const std::string& gateway) {
   const std::uint64_t score = rendezvous_score("whole-list", gateway);
   const std::uint64_t interval =
-      static_cast<std::uint64_t>(whole_interval.count());
+      static_cast<std::uint64_t>(full_list_interval.count());
   return milliseconds(static_cast<std::int64_t>(score % interval));
 }
 
 /// Whether a gateway that has `a` need not be sent `b`.
-bool same(const listed_endpoint& a, const listed_endpoint& b) {
+bool is_equivalent(const listed_endpoint& a, const listed_endpoint& b) {
   const bool ends = a.ends_in.has_value() == b.ends_in.has_value() &&
-                    (!a.ends_in || near(*a.ends_in, *b.ends_in));
+                    (!a.ends_in || nearly_equal(*a.ends_in, *b.ends_in));
   return a.service == b.service && a.address == b.address &&
          a.availability_zone == b.availability_zone && a.slots == b.slots &&
-         a.leaving == b.leaving && ends && near(a.cold_left, b.cold_left);
+         a.leaving == b.leaving && ends &&
+         nearly_equal(a.cold_left, b.cold_left);
 }
 
 json to_json(const listed_endpoint& value) {
@@ -94,17 +95,17 @@
   return out;
 }
 
-result<listing_news> refused(const std::string& why) {
+result<endpoint_list_update> refused(const std::string& why) {
   return fail(error_kind::bad_input, "a list of endpoints " + why,
               "check that all nodes run compatible versions");
 }
 
 }  // namespace
 
-reading_order order_of_reading(const std::string& region,
-                               const std::set<std::string>& gateways,
-                               const std::string& self) {
-  reading_order out;
+reader_ranking rank_readers(const std::string& region,
+                            const std::set<std::string>& gateways,
+                            const std::string& self) {
+  reader_ranking out;
   std::uint64_t best = 0;
   const std::uint64_t own = rendezvous_score(region, self);
   for (const std::string& it : gateways) {
@@ -117,58 +118,59 @@
   return out;
 }
 
-milliseconds listing_patience(bool heard, bool first_start,
-                              milliseconds interval, std::size_t rank) {
+milliseconds reader_timeout(bool has_list, bool first_start,
+                            milliseconds interval, std::size_t rank) {
   // On the first start of a deployment there are no requests yet, so waiting
   // for the reader is fine. After a restart there may be no reader to wait for,
   // and a gateway without a list serves no requests.
-  const bool restarted = !heard && !first_start;
+  const bool restarted = !has_list && !first_start;
   if (restarted) return milliseconds(0);
-  const std::size_t early = std::min(rank, ranks_far_apart);
-  return silent_intervals * interval + early * takeover_step +
-         (rank - early) * late_takeover_step;
+  const std::size_t long_steps = std::min(rank, long_step_ranks);
+  return reader_timeout_intervals * interval + long_steps * long_takeover_step +
+         (rank - long_steps) * short_takeover_step;
 }
 
-milliseconds time_to_reread(bool heard, milliseconds interval,
-                            random_source& random) {
-  if (heard) return interval;
+milliseconds reread_delay(bool has_list, milliseconds interval,
+                          random_source& random) {
+  if (has_list) return interval;
   const std::uint64_t spread =
-      random.below(static_cast<std::uint64_t>(first_list_retry.count()) + 1);
-  return first_list_retry + milliseconds(static_cast<std::int64_t>(spread));
+      random.below(static_cast<std::uint64_t>(initial_retry_delay.count()) + 1);
+  return initial_retry_delay + milliseconds(static_cast<std::int64_t>(spread));
 }
 
-listed_endpoint dated_endpoint::as_of(monotonic_time now) const {
+listed_endpoint timestamped_endpoint::as_of(monotonic_time now) const {
   const milliseconds passed =
       std::chrono::duration_cast<milliseconds>(now - at);
   listed_endpoint out = endpoint;
-  out.cold_left = shrunk(out.cold_left, passed);
-  if (out.ends_in) out.ends_in = shrunk(*out.ends_in, passed);
+  out.cold_left = remaining(out.cold_left, passed);
+  if (out.ends_in) out.ends_in = remaining(*out.ends_in, passed);
   return out;
 }
 
-json to_json(const listing_news& value) {
+json to_json(const endpoint_list_update& value) {
   json out;
   out["reader"] = value.reader;
-  out["life"] = as_number(value.life);
+  out["life"] = as_number(value.incarnation);
   out["since"] = as_number(value.since);
   out["version"] = as_number(value.version);
-  out["covers"] = as_number(value.covers);
+  out["covers"] = as_number(value.covered_revision);
   json& endpoints = out["endpoints"] = json(Json::arrayValue);
   for (const listed_endpoint& it : value.endpoints) {
     endpoints.append(to_json(it));
   }
-  for (const std::string& it : value.gone) out["gone"].append(it);
+  for (const std::string& it : value.removed) out["gone"].append(it);
   return out;
 }
 
-result<listing_news> listing_news_from(const json& value) {
-  listing_news out;
+result<endpoint_list_update> endpoint_list_update_from(const json& value) {
+  endpoint_list_update out;
   out.reader = text_of(value, "reader");
-  out.life = number_of(value, "life");
+  out.incarnation = number_of(value, "life");
   out.since = number_of(value, "since");
   out.version = number_of(value, "version");
-  out.covers = number_of(value, "covers");
-  if (out.reader.empty() || out.life == 0) return refused("names no reader");
+  out.covered_revision = number_of(value, "covers");
+  if (out.reader.empty() || out.incarnation == 0)
+    return refused("names no reader");
   if (out.since > out.version) return refused("starts after its own version");
   for (const json& it : member_of(value, "endpoints")) {
     listed_endpoint one = listed_endpoint_from(it);
@@ -178,97 +180,99 @@
   }
   for (const json& it : member_of(value, "gone")) {
     if (!it.isString()) return refused("has a removed id that is not a string");
-    out.gone.push_back(it.asString());
+    out.removed.push_back(it.asString());
   }
   return out;
 }
 
-void listing_writer::update(const std::vector<listed_endpoint>& all,
-                            config::revision_number covers,
-                            monotonic_time now) {
+void endpoint_list_publisher::update(const std::vector<listed_endpoint>& all,
+                                     config::revision_number covered_revision,
+                                     monotonic_time now) {
   if (version_ == 0) version_ = 1;
-  covers_ = covers;
+  covered_revision_ = covered_revision;
   std::set<std::string> named;
   for (const listed_endpoint& it : all) {
     const std::string name = it.identity.name();
     if (!named.insert(name).second) continue;
     const auto known = entries_.find(name);
-    const bool kept = known != entries_.end() && !known->second.gone &&
-                      same(known->second.dated.as_of(now), it);
+    const bool kept = known != entries_.end() && !known->second.removed &&
+                      is_equivalent(known->second.timestamped.as_of(now), it);
     if (!kept) entries_[name] = {{it, now}, ++version_, false};
   }
   for (auto& [id, it] : entries_) {
-    if (it.gone || named.contains(id)) continue;
-    it.gone = true;
+    if (it.removed || named.contains(id)) continue;
+    it.removed = true;
     it.version = ++version_;
-    it.dated.at = now;
+    it.timestamped.at = now;
   }
   std::erase_if(entries_, [now](const auto& it) {
-    return it.second.gone && it.second.dated.at + gone_memory < now;
+    return it.second.removed &&
+           it.second.timestamped.at + removed_lifetime < now;
   });
 }
 
-std::uint64_t listing_writer::tell(const std::string& gateway,
-                                   monotonic_time now) {
-  const auto [known, is_new] = told_.try_emplace(gateway);
-  told& last = known->second;
-  const bool whole = is_new || now >= last.whole_at + whole_interval;
-  const std::uint64_t since = whole ? 0 : last.version;
+std::uint64_t endpoint_list_publisher::start_update(const std::string& gateway,
+                                                    monotonic_time now) {
+  const auto [known, is_new] = sent_.try_emplace(gateway);
+  sent_state& last = known->second;
+  const bool full = is_new || now >= last.full_sent_at + full_list_interval;
+  const std::uint64_t since = full ? 0 : last.version;
   last.version = version_;
-  if (whole) last.whole_at = now;
+  if (full) last.full_sent_at = now;
   // Gateways that start together would also get their next full list together;
   // for a hundred gateways that occupies a small VM and its link for seconds.
-  if (is_new) last.whole_at -= time_ahead(gateway);
+  if (is_new) last.full_sent_at -= full_list_offset(gateway);
   return since;
 }
 
-listing_news listing_writer::news_since(std::uint64_t since,
-                                        monotonic_time now) const {
-  listing_news out;
+endpoint_list_update endpoint_list_publisher::update_since(
+    std::uint64_t since, monotonic_time now) const {
+  endpoint_list_update out;
   out.reader = reader_;
-  out.life = life_;
+  out.incarnation = incarnation_;
   out.since = since;
   out.version = version_;
-  out.covers = covers_;
+  out.covered_revision = covered_revision_;
   for (const auto& [id, it] : entries_) {
     if (it.version <= since) continue;
-    if (!it.gone) out.endpoints.push_back(it.dated.as_of(now));
-    if (it.gone && since > 0) out.gone.push_back(id);
+    if (!it.removed) out.endpoints.push_back(it.timestamped.as_of(now));
+    if (it.removed && since > 0) out.removed.push_back(id);
   }
   return out;
 }
 
-bool listing_copy::take(const listing_news& in, monotonic_time now) {
-  view& it = readers_[in.reader];
-  const bool other_life = it.life != in.life;
-  if (in.since > 0 && (other_life || in.since > it.version)) return false;
+bool endpoint_list_copy::apply(const endpoint_list_update& in,
+                               monotonic_time now) {
+  reader_list& it = lists_[in.reader];
+  const bool restarted = it.incarnation != in.incarnation;
+  if (in.since > 0 && (restarted || in.since > it.version)) return false;
   // A newer update of the same reader arrived first.
-  if (!other_life && in.version < it.version) return true;
+  if (!restarted && in.version < it.version) return true;
   if (in.since == 0) it.endpoints.clear();
-  it.life = in.life;
+  it.incarnation = in.incarnation;
   it.version = in.version;
-  it.covers = in.covers;
-  for (const std::string& id : in.gone) it.endpoints.erase(id);
+  it.covered_revision = in.covered_revision;
+  for (const std::string& id : in.removed) it.endpoints.erase(id);
   for (const listed_endpoint& one : in.endpoints) {
     it.endpoints[one.identity.name()] = {one, now};
   }
-  last_ = in.reader;
+  last_reader_ = in.reader;
   return true;
 }
 
-std::vector<listed_endpoint> listing_copy::all(monotonic_time now) const {
+std::vector<listed_endpoint> endpoint_list_copy::all(monotonic_time now) const {
   std::vector<listed_endpoint> out;
-  const auto found = readers_.find(last_);
-  if (found == readers_.end()) return out;
+  const auto found = lists_.find(last_reader_);
+  if (found == lists_.end()) return out;
   for (const auto& [id, it] : found->second.endpoints) {
     out.push_back(it.as_of(now));
   }
   return out;
 }
 
-config::revision_number listing_copy::covers() const {
-  const auto found = readers_.find(last_);
-  return found == readers_.end() ? 0 : found->second.covers;
+config::revision_number endpoint_list_copy::covered_revision() const {
+  const auto found = lists_.find(last_reader_);
+  return found == lists_.end() ? 0 : found->second.covered_revision;
 }
 
 }  // namespace trestlepost::node
--- a/node/src/listing_news.h
+++ b/node/src/endpoint_list_updates.h
@@ -21,7 +21,7 @@
 namespace trestlepost::node {
 
 /// An endpoint with the time at which its durations were measured.
-struct dated_endpoint {
+struct timestamped_endpoint {
   surface::listed_endpoint endpoint;
   monotonic_time at;
 
@@ -31,28 +31,28 @@
 
 /// The changes of the list after version `since`; the full list when that is
 /// 0.
-struct listing_news {
+struct endpoint_list_update {
   std::string reader;
-  std::uint64_t life = 0;  // random id of the reader's process
+  std::uint64_t incarnation = 0;  // random id of the reader's process
   std::uint64_t since = 0;
   std::uint64_t version = 0;
   /// The list reflects the effects of the configuration up to this revision.
-  config::revision_number covers = 0;
+  config::revision_number covered_revision = 0;
   std::vector<surface::listed_endpoint> endpoints;
-  std::vector<std::string> gone;  // endpoint identities
+  std::vector<std::string> removed;  // endpoint identities
 };
 
-json to_json(const listing_news& value);
+json to_json(const endpoint_list_update& value);
 /// Fails when the update is inconsistent or incomplete.
-result<listing_news> listing_news_from(const json& value);
+result<endpoint_list_update> endpoint_list_update_from(const json& value);
 
 /// Poll intervals without an update after which a gateway reads the list
 /// itself.
-inline constexpr int silent_intervals = 3;
+inline constexpr int reader_timeout_intervals = 3;
 
 /// The position of one gateway in the region's order of readers. The first
 /// gateway reads the list; when it fails, the next one in order takes over.
-struct reading_order {
+struct reader_ranking {
   std::string first;
   /// The number of gateways that precede this one.
   std::size_t own_rank = 0;
@@ -60,87 +60,88 @@
 
 /// Ranks the gateways of a region by rendezvous hashing, so that all agree on
 /// the order without messages. `gateways` includes `self`.
-reading_order order_of_reading(const std::string& region,
-                               const std::set<std::string>& gateways,
-                               const std::string& self);
+reader_ranking rank_readers(const std::string& region,
+                            const std::set<std::string>& gateways,
+                            const std::string& self);
 
 /// How long a gateway waits for an update before it reads the list itself.
-/// `heard`: it has a list already. `first_start`: the whole deployment starts
-/// for the first time. The wait grows with `rank`, so that a gateway receives
-/// the update of the one that took over before its own wait ends. If all read
-/// at once when the reader is late, each would send the list to all others, and
-/// the next reader would be late too.
-std::chrono::milliseconds listing_patience(bool heard, bool first_start,
-                                           std::chrono::milliseconds interval,
-                                           std::size_t rank = 0);
+/// `has_list`: it has a list already. `first_start`: the whole deployment
+/// starts for the first time. The wait grows with `rank`, so that a gateway
+/// receives the update of the one that took over before its own wait ends. If
+/// all read at once when the reader is late, each would send the list to all
+/// others, and the next reader would be late too.
+std::chrono::milliseconds reader_timeout(bool has_list, bool first_start,
+                                         std::chrono::milliseconds interval,
+                                         std::size_t rank = 0);
 
 /// Delay before the list is read again after a failed read.
-std::chrono::milliseconds time_to_reread(bool heard,
-                                         std::chrono::milliseconds interval,
-                                         random_source& random);
+std::chrono::milliseconds reread_delay(bool has_list,
+                                       std::chrono::milliseconds interval,
+                                       random_source& random);
 
 /// Used by the reader: numbers the changes of the list and tracks the version
 /// that each gateway was sent.
-class listing_writer {
+class endpoint_list_publisher {
  public:
-  listing_writer(std::string reader, std::uint64_t life)
-      : reader_(std::move(reader)), life_(life) {}
+  endpoint_list_publisher(std::string reader, std::uint64_t incarnation)
+      : reader_(std::move(reader)), incarnation_(incarnation) {}
 
   /// Replaces the list by the one read at `now`, which reflects the
-  /// configuration up to `covers`.
+  /// configuration up to `covered_revision`.
   void update(const std::vector<surface::listed_endpoint>& all,
-              config::revision_number covers, monotonic_time now);
+              config::revision_number covered_revision, monotonic_time now);
   /// Returns the version after which the next update to `gateway` starts, and
   /// records the current version as sent. 0 stands for the full list, which
   /// each gateway gets at regular intervals, at a different time than others.
-  std::uint64_t tell(const std::string& gateway, monotonic_time now);
+  std::uint64_t start_update(const std::string& gateway, monotonic_time now);
   /// The changes after version `since`; the same for every gateway at that
   /// version.
-  listing_news news_since(std::uint64_t since, monotonic_time now) const;
+  endpoint_list_update update_since(std::uint64_t since,
+                                    monotonic_time now) const;
   /// Makes the next update to `gateway` a full list.
-  void forget(const std::string& gateway) { told_.erase(gateway); }
+  void reset(const std::string& gateway) { sent_.erase(gateway); }
   bool empty() const { return version_ == 0; }
 
  private:
   struct entry {
-    dated_endpoint dated;
+    timestamped_endpoint timestamped;
     std::uint64_t version = 0;
-    bool gone = false;
+    bool removed = false;
   };
-  struct told {
+  struct sent_state {
     std::uint64_t version = 0;
-    monotonic_time whole_at;
+    monotonic_time full_sent_at;
   };
 
   std::string reader_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   std::uint64_t version_ = 0;
-  config::revision_number covers_ = 0;
+  config::revision_number covered_revision_ = 0;
   std::map<std::string, entry> entries_;
-  std::map<std::string, told> told_;
+  std::map<std::string, sent_state> sent_;
 };
 
 /// Used by the other gateways: the list as received from its readers.
-class listing_copy {
+class endpoint_list_copy {
  public:
   /// Applies an update. False when an earlier one is missing: the full list
   /// must be requested.
-  bool take(const listing_news& in, monotonic_time now);
+  bool apply(const endpoint_list_update& in, monotonic_time now);
   /// The list of the reader that sent the last update.
   std::vector<surface::listed_endpoint> all(monotonic_time now) const;
   /// The configuration revision that this list reflects.
-  config::revision_number covers() const;
+  config::revision_number covered_revision() const;
 
  private:
-  struct view {
-    std::uint64_t life = 0;
+  struct reader_list {
+    std::uint64_t incarnation = 0;
     std::uint64_t version = 0;
-    config::revision_number covers = 0;
-    std::map<std::string, dated_endpoint> endpoints;
+    config::revision_number covered_revision = 0;
+    std::map<std::string, timestamped_endpoint> endpoints;
   };
 
-  std::string last_;
-  std::map<std::string, view> readers_;
+  std::string last_reader_;
+  std::map<std::string, reader_list> lists_;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/entry_handlers.cc
+++ b/node/src/entry_handlers.cc
@@ -16,7 +16,7 @@
 }
 
 /// The regions whose availability zones are all evacuated.
-std::set<std::string> closed_regions(const node_context& context) {
+std::set<std::string> evacuated_regions(const node_context& context) {
   std::set<std::string> out;
   std::set<std::string> open;
   const auto& evacuated = context.store.evacuated_zones();
@@ -33,24 +33,24 @@
   membership::host_regions out;
   const config::plan_ptr& plan = context.store.plan();
   if (!plan) return out;
-  out.closed = closed_regions(context);
+  out.closed = evacuated_regions(context);
   std::set<std::string> homes;
-  bool any = false;
-  bool free = false;
+  bool has_route = false;
+  bool unrestricted = false;
   for (const config::route& it : plan->routes) {
     if (it.host != host) continue;
-    any = true;
-    free = free || it.home_regions.empty();
+    has_route = true;
+    unrestricted = unrestricted || it.home_regions.empty();
     homes.insert(it.home_regions.begin(), it.home_regions.end());
   }
   out.homes.assign(homes.begin(), homes.end());
-  out.every_route = any && !free;
+  out.every_route = has_route && !unrestricted;
   return out;
 }
 
 /// In heartbeat intervals. The loss of one or two heartbeats must not remove
 /// the entries of a region from the directory.
-constexpr int beats_until_silent = 4;
+constexpr int max_missed_heartbeats = 4;
 
 }  // namespace
 
@@ -64,7 +64,7 @@
   } else {
     const membership::directory_options options{
         context_.self.region,
-        beats_until_silent * heartbeat_interval(context_)};
+        max_missed_heartbeats * heartbeat_interval(context_)};
     const std::vector<membership::entry_view> entries =
         membership::entries_near(context_.nodes, *query,
                                  regions_of(context_, query->host), options,
--- a/node/src/group_upkeep.cc
+++ b/node/src/group_maintenance.cc
@@ -1,4 +1,4 @@
-#include "group_upkeep.h"
+#include "group_maintenance.h"
 
 #include <set>
 #include <utility>
@@ -10,14 +10,14 @@
 
 // How often missing connections to members are opened. The first time is at
 // startup, since the first election would otherwise wait for connections.
-constexpr std::chrono::milliseconds keep_interval{1000};
+constexpr std::chrono::milliseconds connect_interval{1000};
 
 }  // namespace
 
-void group_upkeep::keep_members_connected(const consensus::replica& core) {
+void group_maintenance::keep_members_connected(const consensus::replica& core) {
   const monotonic_time now = context_.clock.now();
-  if (now < next_keep_) return;
-  next_keep_ = now + keep_interval;
+  if (now < next_connect_) return;
+  next_connect_ = now + connect_interval;
   std::set<std::string> addresses;
   for (const consensus::member& it : core.members()) {
     addresses.insert(address_of_(it.id.node));
@@ -26,7 +26,7 @@
   context_.links.keep_open(std::move(addresses));
 }
 
-void group_upkeep::note_leader(const consensus::replica& core) {
+void group_maintenance::log_leader_change(const consensus::replica& core) {
   const std::optional<consensus::replica_id> now = core.leader();
   std::string leader = now ? now->node : "";
   if (leader == leader_) return;
@@ -35,8 +35,8 @@
             {{"leader", leader_}, {"term", std::to_string(core.term())}});
 }
 
-void group_upkeep::tick(const consensus::replica& core) {
-  note_leader(core);
+void group_maintenance::tick(const consensus::replica& core) {
+  log_leader_change(core);
   keep_members_connected(core);
 }
 
--- a/node/src/group_upkeep.h
+++ b/node/src/group_maintenance.h
@@ -10,11 +10,11 @@
 
 namespace trestlepost::node {
 
-class group_upkeep {
+class group_maintenance {
  public:
   /// `address_of` returns a node's peer address, or an empty string.
-  group_upkeep(node_context& context,
-               std::function<std::string(const std::string&)> address_of)
+  group_maintenance(node_context& context,
+                    std::function<std::string(const std::string&)> address_of)
       : context_(context), address_of_(std::move(address_of)) {}
 
   void tick(const consensus::replica& core);
@@ -24,11 +24,11 @@
   /// them.
   void keep_members_connected(const consensus::replica& core);
   /// Logs a change of leader; the name is empty when there is none.
-  void note_leader(const consensus::replica& core);
+  void log_leader_change(const consensus::replica& core);
 
   node_context& context_;
   std::function<std::string(const std::string&)> address_of_;
-  monotonic_time next_keep_;
+  monotonic_time next_connect_;
   std::string leader_;
 };
 
--- a/node/src/group_orders.cc
+++ b/node/src/group_orders.cc
@@ -42,7 +42,7 @@
 }
 
 void group_orders::submit(config::change asked, const answer_function& answer) {
-  if (!control_.hears_leader()) {
+  if (!control_.follows_leader()) {
     take(std::move(asked), answer);
     return;
   }
@@ -114,7 +114,7 @@
 }
 
 void group_orders::read_here(const answer_function& answer) {
-  if (!control_.hears_leader()) {
+  if (!control_.follows_leader()) {
     confirm(answer);
     return;
   }
--- a/node/src/heartbeat_service.cc
+++ b/node/src/heartbeat_service.cc
@@ -15,7 +15,7 @@
 constexpr milliseconds summary_interval{300};
 constexpr milliseconds ping_interval{1000};
 // Weight of a new sample in the moving average of a region's round trip.
-constexpr double newest_weight = 0.3;
+constexpr double sample_weight = 0.3;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
       "node.pong", [this](const json& params, const transport::rpc_context&) {
         handle_pong(params);
       });
-  digests_.on_sums = [this] { heard_region(); };
+  digests_.on_digest = [this] { handle_region_update(); };
   digests_.start();
 }
 
@@ -55,22 +55,22 @@
   for (const auto& [endpoint, it] : beat.reports) {
     context_.endpoints.report(endpoint, {it.running, it.waiting, now, 0});
   }
-  digests_.note_ask(params, beat.node);
-  heard_region();
+  digests_.record_digest_request(params, beat.node);
+  handle_region_update();
 }
 
-void heartbeat_service::heard_region() {
+void heartbeat_service::handle_region_update() {
   // In a large region a relay receives too many heartbeats to sum them up on
   // each one; tick() does it.
-  unshared_ = true;
-  if (!sends_by_relays(context_)) share_in_flight();
+  in_flight_changed_ = true;
+  if (!uses_relays(context_)) report_in_flight();
 }
 
-void heartbeat_service::share_in_flight() {
-  unshared_ = false;
-  const membership::endpoint_sums others = digests_.others();
+void heartbeat_service::report_in_flight() {
+  in_flight_changed_ = false;
+  const membership::endpoint_sums others = digests_.other_gateways();
   context_.endpoints.others_in_flight(others.in_flight);
-  if (on_region_heard) on_region_heard(others);
+  if (on_region_loads) on_region_loads(others);
 }
 
 void heartbeat_service::handle_summary(const json& params) {
@@ -78,7 +78,8 @@
       membership::region_summary_from(member_of(params, "summary"));
   if (summary.region == context_.self.region) return;
   context_.nodes.observe(summary, context_.clock.now());
-  if (!flag_of(params, "passed_on")) digests_.pass_on("region.summary", params);
+  if (!flag_of(params, "passed_on"))
+    digests_.forward_in_region("region.summary", params);
 }
 
 void heartbeat_service::handle_ping(const json& params) {
@@ -93,20 +94,20 @@
   const std::chrono::nanoseconds passed =
       now - std::chrono::nanoseconds(number_of(params, "at"));
   const double ms = std::chrono::duration<double, std::milli>(passed).count();
-  constexpr double longest_ms = 60'000;
-  if (ms < 0 || ms > longest_ms) return;
+  constexpr double max_round_trip_ms = 60'000;
+  if (ms < 0 || ms > max_round_trip_ms) return;
   milliseconds& known = context_.round_trips[text_of(params, "region")];
   const double old = static_cast<double>(known.count());
-  const double mixed =
-      known.count() == 0 ? ms : old * (1 - newest_weight) + ms * newest_weight;
-  known = milliseconds(static_cast<std::int64_t>(mixed));
+  const double smoothed =
+      known.count() == 0 ? ms : old * (1 - sample_weight) + ms * sample_weight;
+  known = milliseconds(static_cast<std::int64_t>(smoothed));
 }
 
 void heartbeat_service::send_heartbeats() {
   const membership::heartbeat beat = make_heartbeat_();
   context_.nodes.observe(beat, context_.clock.now());
   const json params = membership::to_json(beat);
-  if (sends_by_relays(context_)) {
+  if (uses_relays(context_)) {
     digests_.send_to_relays(params);
     return;
   }
@@ -116,7 +117,7 @@
     addresses.insert(context_.options.seeds.begin(),
                      context_.options.seeds.end());
   }
-  for (const auto& [name, address] : region_mates(context_)) {
+  for (const auto& [name, address] : peers_in_region(context_)) {
     addresses.insert(address);
   }
   addresses.erase(context_.self.peer_address);
@@ -128,26 +129,26 @@
 void heartbeat_service::send_summaries() {
   const monotonic_time now = context_.clock.now();
   // Each relay of this region sends to one relay of each other region.
-  std::optional<std::size_t> place;
+  std::optional<std::size_t> own_index;
   const std::vector<const node_record*> relays =
       context_.nodes.relays_of(context_.self.region, now);
   for (std::size_t i = 0; i < relays.size(); ++i) {
-    if (relays[i]->last.node.name == context_.self.name) place = i;
+    if (relays[i]->last.node.name == context_.self.name) own_index = i;
   }
-  if (!place) return;
+  if (!own_index) return;
   std::vector<std::string> addresses;
   for (const std::string& region : other_regions(context_)) {
     const std::vector<std::string> there = relay_addresses(context_, region);
-    if (!there.empty()) addresses.push_back(there[*place % there.size()]);
+    if (!there.empty()) addresses.push_back(there[*own_index % there.size()]);
   }
-  if (sends_by_relays(context_)) {
+  if (uses_relays(context_)) {
     digests_.send_to_regions(addresses);
   } else {
-    send_summary_of_nodes(addresses);
+    send_node_summary(addresses);
   }
 }
 
-void heartbeat_service::send_summary_of_nodes(
+void heartbeat_service::send_node_summary(
     const std::vector<std::string>& addresses) {
   membership::region_summary summary;
   summary.region = context_.self.region;
@@ -186,19 +187,19 @@
 
 void heartbeat_service::announce() {
   send_heartbeats();
-  digests_.answer_asks();
+  digests_.answer_digest_requests();
   send_summaries();
 }
 
 void heartbeat_service::tick() {
   const monotonic_time now = context_.clock.now();
-  if (now >= next_beat_) {
-    next_beat_ = now + digests_.interval();
+  if (now >= next_heartbeat_) {
+    next_heartbeat_ = now + digests_.interval();
     send_heartbeats();
-    digests_.answer_asks();
+    digests_.answer_digest_requests();
     context_.nodes.forget_old(now);
   }
-  if (unshared_) share_in_flight();
+  if (in_flight_changed_) report_in_flight();
   if (now >= next_summary_) {
     next_summary_ = now + summary_interval;
     send_summaries();
--- a/node/src/heartbeat_service.h
+++ b/node/src/heartbeat_service.h
@@ -26,7 +26,7 @@
   /// state that must not wait for the next interval.
   void announce();
   /// Called with the requests in flight from the region's other gateways.
-  std::function<void(const membership::endpoint_sums&)> on_region_heard;
+  std::function<void(const membership::endpoint_sums&)> on_region_loads;
 
  private:
   void handle_heartbeat(const json& params);
@@ -37,19 +37,19 @@
   void send_summaries();
   void send_pings();
   /// Sends the heartbeats of all nodes of a region that uses no digests.
-  void send_summary_of_nodes(const std::vector<std::string>& addresses);
+  void send_node_summary(const std::vector<std::string>& addresses);
   /// Handles new load data from another gateway of the region.
-  void heard_region();
+  void handle_region_update();
   /// Reports the other gateways' requests in flight to the endpoint tracker
   /// and to `on_region_loads`.
-  void share_in_flight();
+  void report_in_flight();
 
   node_context& context_;
   std::function<membership::heartbeat()> make_heartbeat_;
   digest_service digests_;
-  bool unshared_ = false;  // new load data not reported yet
+  bool in_flight_changed_ = false;  // new load data not reported yet
   std::uint64_t sequence_ = 0;
-  monotonic_time next_beat_;
+  monotonic_time next_heartbeat_;
   monotonic_time next_summary_;
   monotonic_time next_ping_;
 };
--- a/node/src/crash_judge.cc
+++ b/node/src/hold_proposer.cc
@@ -1,4 +1,4 @@
-#include "crash_judge.h"
+#include "hold_proposer.h"
 
 #include <utility>
 
@@ -12,7 +12,7 @@
 // A proposal not in force after this time is sent again: it may have been lost
 // with its leader.
 constexpr milliseconds proposal_interval{2000};
-constexpr std::size_t most_condemned = 1000;
+constexpr std::size_t max_proposed_holds = 1000;
 constexpr char operator_name[] = "trestlepost";
 
 std::string evidence_of(const routing::crash_verdict& it) {
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void crash_judge::handle_report(const json& params) {
+void hold_proposer::handle_report(const json& params) {
   const monotonic_time now = context_.clock.now();
   for (const json& it : member_of(params, "reports")) {
     routing::crash_report report;
@@ -33,22 +33,22 @@
     report.at = now - milliseconds(number_of(it, "age_ms"));
     if (report.fingerprint.empty()) continue;
     if (report.endpoint.empty()) {
-      blame_.ended_well(report.fingerprint, report.at);
-      condemned_.erase(report.fingerprint);
+      attribution_.ended_well(report.fingerprint, report.at);
+      proposed_holds_.erase(report.fingerprint);
     } else {
-      blame_.crashed(report, now);
+      attribution_.crashed(report, now);
     }
   }
 }
 
-void crash_judge::note_released() {
+void hold_proposer::apply_hold_changes() {
   const config::hold_changes changes = holds_.update(store_);
-  for (const std::string& it : changes.held) condemned_.erase(it);
-  for (const std::string& it : changes.released) blame_.forget(it);
+  for (const std::string& it : changes.held) proposed_holds_.erase(it);
+  for (const std::string& it : changes.released) attribution_.forget(it);
 }
 
-void crash_judge::tell_gateways(const std::string& method,
-                                const std::vector<std::string>& fingerprints) {
+void hold_proposer::notify_gateways(
+    const std::string& method, const std::vector<std::string>& fingerprints) {
   if (fingerprints.empty()) return;
   json params;
   json& all = params["fingerprints"] = json(Json::arrayValue);
@@ -58,38 +58,38 @@
   const monotonic_time now = context_.clock.now();
   for (const membership::node_record* it : context_.nodes.all()) {
     const bool gateway = !it->last.node.forward_address.empty();
-    const bool heard =
+    const bool reachable =
         context_.nodes.state_of(*it, now) != membership::peer_state::dead;
-    if (gateway && heard) {
+    if (gateway && reachable) {
       context_.links.send(it->last.node.peer_address, packed);
     }
   }
 }
 
-std::vector<std::string> crash_judge::judge() {
+std::vector<std::string> hold_proposer::evaluate_reports() {
   std::vector<std::string> out;
   const monotonic_time now = context_.clock.now();
-  for (routing::crash_verdict& it : blame_.take_verdicts(now)) {
+  for (routing::crash_verdict& it : attribution_.take_verdicts(now)) {
     if (store_.held_requests().contains(it.fingerprint)) continue;
     log_event(log_level::warn, "request-hold-proposed",
               {{"fingerprint", it.fingerprint},
                {"service", it.service},
                {"evidence", evidence_of(it)}});
-    if (condemned_.size() >= most_condemned) {
+    if (proposed_holds_.size() >= max_proposed_holds) {
       log_event(log_level::warn, "proposed-holds-dropped",
-                {{"requests", std::to_string(condemned_.size())}});
-      condemned_.clear();
+                {{"requests", std::to_string(proposed_holds_.size())}});
+      proposed_holds_.clear();
     }
     const std::string fingerprint = it.fingerprint;
-    condemned_[fingerprint] = {std::move(it), now};
+    proposed_holds_[fingerprint] = {std::move(it), now};
     out.push_back(fingerprint);
   }
   return out;
 }
 
-void crash_judge::propose_holds() {
+void hold_proposer::propose_holds() {
   const monotonic_time now = context_.clock.now();
-  for (auto& [fingerprint, it] : condemned_) {
+  for (auto& [fingerprint, it] : proposed_holds_) {
     if (now < it.next_proposal) continue;
     it.next_proposal = now + proposal_interval;
     config::change asked;
@@ -101,15 +101,15 @@
   }
 }
 
-void crash_judge::tick(bool leads) {
-  note_released();
-  const std::vector<std::string> suspects = blame_.take_suspects();
-  const std::vector<std::string> condemned = judge();
+void hold_proposer::tick(bool leads) {
+  apply_hold_changes();
+  const std::vector<std::string> suspects = attribution_.take_suspects();
+  const std::vector<std::string> proposed = evaluate_reports();
   if (!leads) return;
-  tell_gateways("crash.suspects", suspects);
+  notify_gateways("crash.suspects", suspects);
   // Sent without waiting for the log, which takes several round trips: more
   // endpoints could crash until then.
-  tell_gateways("crash.condemned", condemned);
+  notify_gateways("crash.condemned", proposed);
   propose_holds();
 }
 
--- a/node/src/crash_judge.h
+++ b/node/src/hold_proposer.h
@@ -20,12 +20,12 @@
 /// survives the restart of all nodes and reaches each gateway like any other
 /// change. A gateway that has started or was disconnected serves no request
 /// before it has the latest revision.
-class crash_judge {
+class hold_proposer {
  public:
   using propose_function = std::function<void(config::change)>;
 
-  crash_judge(node_context& context, const config::object_store& store,
-              propose_function propose)
+  hold_proposer(node_context& context, const config::object_store& store,
+                propose_function propose)
       : context_(context), store_(store), propose_(std::move(propose)) {}
 
   void handle_report(const json& params);
@@ -33,26 +33,26 @@
   void tick(bool leads);
 
  private:
-  struct condemned {
+  struct proposed_hold {
     routing::crash_verdict verdict;
     monotonic_time next_proposal{};
   };
 
   /// Drops proposals that are in force, and the crashes of released requests.
-  void note_released();
+  void apply_hold_changes();
   /// Sends the notification `method` to all reachable gateways.
-  void tell_gateways(const std::string& method,
-                     const std::vector<std::string>& fingerprints);
+  void notify_gateways(const std::string& method,
+                       const std::vector<std::string>& fingerprints);
   /// Evaluates the reports; returns the requests newly proposed to be held.
-  std::vector<std::string> judge();
+  std::vector<std::string> evaluate_reports();
   void propose_holds();
 
   node_context& context_;
   const config::object_store& store_;
   propose_function propose_;
-  routing::crash_blame blame_;
+  routing::crash_blame attribution_;
   /// By fingerprint; not in force yet on this node.
-  std::map<std::string, condemned> condemned_;
+  std::map<std::string, proposed_hold> proposed_holds_;
   config::hold_tracker holds_;
 };
 
--- a/node/src/leader_finder.h
+++ b/node/src/leader_finder.h
@@ -14,26 +14,26 @@
 /// Tracks the last known leader and whether it still answers.
 class leader_finder {
  public:
-  /// A leader that has not confirmed its lead for `patience` is dropped.
-  explicit leader_finder(std::chrono::milliseconds patience)
-      : patience_(patience) {}
+  /// A leader that has not confirmed its lead for `timeout` is dropped.
+  explicit leader_finder(std::chrono::milliseconds timeout)
+      : timeout_(timeout) {}
 
   /// Records the leader named by a control node. True when it is a new one.
-  bool learn(const std::string& leader, monotonic_time now);
+  bool set_leader(const std::string& leader, monotonic_time now);
   /// Records that the leader confirmed that it leads.
-  void confirmed(monotonic_time now) { heard_at_ = now; }
+  void confirmed(monotonic_time now) { last_confirmed_at_ = now; }
 
-  /// The leader at `now`. When empty, query the control node that `next_of`
+  /// The leader at `now`. When empty, query the control node that `select_next`
   /// returns.
   const std::string& leader(monotonic_time now);
   /// Selects from `all` in round-robin order; empty when `all` is.
-  std::string next_of(const std::vector<std::string>& all);
+  std::string select_next(const std::vector<std::string>& all);
 
  private:
-  std::chrono::milliseconds patience_;
+  std::chrono::milliseconds timeout_;
   std::string leader_;
-  monotonic_time heard_at_;  // or when it was named
-  std::size_t next_ = 0;
+  monotonic_time last_confirmed_at_;  // or when it was named
+  std::size_t next_index_ = 0;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/ledger_service.cc
+++ b/node/src/ledger_service.cc
@@ -19,13 +19,14 @@
 constexpr milliseconds heartbeat_interval{120};
 constexpr milliseconds join_interval{500};
 constexpr milliseconds fence_interval{300};
-constexpr std::size_t prefix_size = 12;  // characters
+constexpr std::size_t attempt_prefix_size = 12;  // characters
 
 }  // namespace
 
 ledger_service::ledger_service(node_context& context)
     : context_(context),
-      own_prefix_(make_request_id(context.random).substr(0, prefix_size) + "-"),
+      own_prefix_(
+          make_request_id(context.random).substr(0, attempt_prefix_size) + "-"),
       claims_(*this) {
   claims_.set_own_prefix(own_prefix_);
   machine_.on_decided = [this](const claim_decision& it,
@@ -72,7 +73,7 @@
       });
 }
 
-void ledger_service::learn(const config::ledger_founding& founding) {
+void ledger_service::start_replica(const config::ledger_founding& founding) {
   if (host_ || founding.region != context_.self.region) return;
   const consensus::replica_id self{context_.self.name,
                                    context_.self.incarnation};
@@ -130,8 +131,8 @@
   return own_prefix_ + make_request_id(context_.random);
 }
 
-awaitable<result<claim_decision>> ledger_service::wait_for(
-    begin_function begin, std::function<void()> give_up,
+awaitable<result<claim_decision>> ledger_service::wait_for_decision(
+    begin_function begin, std::function<void()> on_timeout,
     monotonic_time deadline) {
   std::optional<claim_decision> answer;
   transport::timer timer(context_.io);
@@ -146,7 +147,7 @@
         boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   }
   if (answer) co_return *answer;
-  give_up();
+  on_timeout();
   co_return fail(error_kind::unavailable,
                  "the ledger of run-once requests has no majority",
                  "send it again after Retry-After; `trestlepost status` shows "
@@ -160,10 +161,11 @@
       [this, &asked](ledger::claim_table::decided_function decided) {
         claims_.claim(asked, context_.clock.now(), std::move(decided));
       };
-  std::function<void()> give_up = [this, &attempt] {
+  std::function<void()> on_timeout = [this, &attempt] {
     claims_.abandon(attempt);
   };
-  co_return co_await wait_for(std::move(begin), std::move(give_up), deadline);
+  co_return co_await wait_for_decision(std::move(begin), std::move(on_timeout),
+                                       deadline);
 }
 
 awaitable<result<claim_decision>> ledger_service::fence(
@@ -178,18 +180,20 @@
     send_fence(it);
     remote_fences_[attempt] = std::move(it);
   };
-  std::function<void()> give_up = [this, &attempt] {
+  std::function<void()> on_timeout = [this, &attempt] {
     remote_fences_.erase(attempt);
   };
-  co_return co_await wait_for(std::move(begin), std::move(give_up), deadline);
+  co_return co_await wait_for_decision(std::move(begin), std::move(on_timeout),
+                                       deadline);
 }
 
 void ledger_service::send_fence(remote_fence& it) {
   it.sent_at = context_.clock.now();
-  const std::vector<const membership::node_record*> open =
+  const std::vector<const membership::node_record*> candidates =
       context_.nodes.live_in(it.region, it.sent_at);
-  if (open.empty()) return;
-  const membership::node_record* to = open[context_.random.below(open.size())];
+  if (candidates.empty()) return;
+  const membership::node_record* to =
+      candidates[context_.random.below(candidates.size())];
   context_.links.send(to->last.node.peer_address, "ledger.fence", it.params);
 }
 
@@ -220,8 +224,8 @@
   call(decided);
 }
 
-void ledger_service::finish(const ledger::finish_command& told) {
-  claims_.finish(told, context_.clock.now());
+void ledger_service::finish(const ledger::finish_command& command) {
+  claims_.finish(command, context_.clock.now());
 }
 
 void ledger_service::update_voters() {
@@ -242,7 +246,7 @@
   host_->set_desired_voters(std::move(names));
 }
 
-void ledger_service::ask_to_join() {
+void ledger_service::request_join() {
   const monotonic_time now = context_.clock.now();
   if (now < next_join_ || !host_->needs_join(now)) return;
   next_join_ = now + join_interval;
@@ -259,7 +263,7 @@
   if (host_) {
     update_voters();
     host_->tick(now);
-    ask_to_join();
+    request_join();
     claims_.tick(now);
   }
   for (auto& [attempt, it] : remote_fences_) {
--- a/node/src/ledger_service.h
+++ b/node/src/ledger_service.h
@@ -28,14 +28,14 @@
 
   /// Starts this node's replica of the ledger with `founding`. Does nothing
   /// when it runs already or the ledger is another region's.
-  void learn(const config::ledger_founding& founding);
+  void start_replica(const config::ledger_founding& founding);
 
   transport::awaitable<result<ledger::claim_decision>> claim(
       ledger::claim_command asked, monotonic_time deadline) override;
   transport::awaitable<result<ledger::claim_decision>> fence(
       std::string region, ledger::fence_command asked,
       monotonic_time deadline) override;
-  void finish(const ledger::finish_command& told) override;
+  void finish(const ledger::finish_command& command) override;
   std::string make_attempt_id() override;
 
   void propose(const json& command) override;
@@ -64,11 +64,11 @@
   void handle_fenced(const json& params);
   void send_fence(remote_fence& it);
   void update_voters();
-  void ask_to_join();
-  /// Calls `begin` and waits for the decision; calls `give_up` and fails at
+  void request_join();
+  /// Calls `begin` and waits for the decision; calls `on_timeout` and fails at
   /// the deadline.
-  transport::awaitable<result<ledger::claim_decision>> wait_for(
-      begin_function begin, std::function<void()> give_up,
+  transport::awaitable<result<ledger::claim_decision>> wait_for_decision(
+      begin_function begin, std::function<void()> on_timeout,
       monotonic_time deadline);
 
   node_context& context_;
--- a/node/src/ledger_voters.cc
+++ b/node/src/ledger_voters.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Three voters tolerate the loss of one.
-constexpr std::size_t ledger_voters = 3;
+constexpr std::size_t voters_per_ledger = 3;
 
 }  // namespace
 
@@ -18,8 +18,8 @@
               if (a.durable != b.durable) return a.durable;
               return a.name < b.name;
             });
-  if (gateways.size() >= ledger_voters) {
-    gateways.resize(ledger_voters);
+  if (gateways.size() >= voters_per_ledger) {
+    gateways.resize(voters_per_ledger);
     return gateways;
   }
   std::erase_if(gateways,
--- a/node/src/main.cc
+++ b/node/src/main.cc
@@ -36,7 +36,7 @@
     std::cout << file << ": sound\n";
     return 0;
   }
-  trestlepost::start_log(options->node, options->region, options->log_lowest,
+  trestlepost::start_log(options->node, options->region, options->min_log_level,
                          options->log_file);
   trestlepost::node::node node(*options, file);
   const trestlepost::result<void> started = node.start();
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -37,14 +37,14 @@
 constexpr milliseconds tick_interval{25};
 // An event loop iteration that takes longer is logged as a stall: half of the
 // time without heartbeats after which followers start an election.
-constexpr milliseconds long_turn{250};
+constexpr milliseconds stall_threshold{250};
 // A VM without power does not answer, and TCP retransmits a lost SYN only after
 // a second, so reconnecting finds a restarted VM sooner. Covers two round trips
 // between the most distant regions, 160 ms each.
 constexpr milliseconds peer_connect_timeout{350};
 // Endpoints of the platform keep idle connections open until they announce the
 // close.
-constexpr milliseconds kept_connection_lifetime{60'000};
+constexpr milliseconds idle_connection_lifetime{60'000};
 // Covers the longest round trip to an endpoint, about 110 ms between regions.
 constexpr milliseconds endpoint_connect_timeout{400};
 // In seconds.
@@ -55,7 +55,7 @@
 
 /// What the other members are constructed from and what can fail to load: the
 /// clock, the charts, the lock of the data folder and the incarnation.
-struct node::foundation {
+struct node::node_resources {
   result<void> prepare(const settings& options);
 
   system_clock_source clock;
@@ -66,7 +66,7 @@
   std::optional<charts::chart> endpoint_chart;
 };
 
-result<void> node::foundation::prepare(const settings& options) {
+result<void> node::node_resources::prepare(const settings& options) {
   result<charts::chart> node =
       charts::chart::load(options.charts_folder + "/node.jsonc",
                           membership::node_chart_interface());
@@ -126,7 +126,7 @@
   out.source_ip = options.outgoing_ip;
   if (options.surface == surface_kind::platform) {
     out.accept_unframed = true;
-    out.keep_idle = kept_connection_lifetime;
+    out.keep_idle = idle_connection_lifetime;
     out.connect_timeout = endpoint_connect_timeout;
   }
   return out;
@@ -151,7 +151,7 @@
 
 /// The services of the node. Services refer to those declared before them.
 struct node::implementation {
-  implementation(settings o, foundation& base, std::string file);
+  implementation(settings o, node_resources& resources, std::string file);
 
   result<void> start();
   membership::heartbeat make_heartbeat();
@@ -162,15 +162,15 @@
   result<void> listen_all();
   bool routed() const { return options.surface == surface_kind::platform; }
   void reload_if_changed(bool at_once);
-  void take_settings(const settings& next);
+  void apply_settings(const settings& next);
   awaitable<void> run_ticks();
   awaitable<void> wait_for_signals();
   void collect_metrics();
   /// Records the delay of a tick that was due at `due`, and logs a long one.
-  void note_turn(monotonic_time due);
+  void record_tick_delay(monotonic_time due);
 
   settings options;
-  foundation& base;
+  node_resources& resources;
   settings_watch file_watch;
   transport::asio::io_context io{1};
   boost::asio::signal_set signals{io};
@@ -198,7 +198,7 @@
   heartbeat_service heartbeats;
   probe_service probes;
   operator_service operators;
-  routed_gateway routed_parts;
+  routed_gateway routed_services;
   transport::http_server entry_server;
   transport::http_server forward_server;
   transport::http_server operator_server;
@@ -210,24 +210,25 @@
   prometheus::Histogram& confirm_seconds;
   std::uint64_t sequence = 0;
   /// The longest delay of a tick since the start.
-  milliseconds longest_turn{0};
+  milliseconds max_tick_delay{0};
 };
 
-node::implementation::implementation(settings o, foundation& b,
+node::implementation::implementation(settings o, node_resources& b,
                                      std::string file)
     : options(std::move(o)),
-      base(b),
+      resources(b),
       file_watch(std::move(file)),
-      state(*base.node_chart, options.state, base.clock.now()),
-      endpoints(*base.endpoint_chart, options.endpoints),
+      state(*resources.node_chart, options.state, resources.clock.now()),
+      endpoints(*resources.endpoint_chart, options.endpoints),
       links(io, options.peer_secret, peer_options_of(options)),
-      peer_server(io, options.peer_secret, peer_dispatcher, base.random, {}),
+      peer_server(io, options.peer_secret, peer_dispatcher, resources.random,
+                  {}),
       client(io, client_options_of(options)),
       context{io,
               options,
-              base.clock,
-              base.random,
-              info_of(options, base.incarnation),
+              resources.clock,
+              resources.random,
+              info_of(options, resources.incarnation),
               store,
               state,
               nodes,
@@ -242,8 +243,8 @@
       metrics(*registry),
       ledger(context),
       gateway{io,
-              base.clock,
-              base.random,
+              resources.clock,
+              resources.random,
               store,
               context.self,
               state,
@@ -267,18 +268,18 @@
       heartbeats(context, [this] { return make_heartbeat(); }),
       probes(context),
       operators(context, control.get(), watch, ledger, local, *registry),
-      routed_parts(context, gateway, crashes, control.get(), forwards),
-      entry_server(
-          io,
-          routed() ? static_cast<transport::http_handler&>(routed_parts.entry())
-                   : entries,
-          {}),
-      forward_server(io, routed_parts.forwards(), {}),
+      routed_services(context, gateway, crashes, control.get(), forwards),
+      entry_server(io,
+                   routed() ? static_cast<transport::http_handler&>(
+                                  routed_services.entry())
+                            : entries,
+                   {}),
+      forward_server(io, routed_services.forwards(), {}),
       operator_server(io, operators, {}),
-      order_server(io, routed_parts.orders(), {}),
-      directory_server(io, routed_parts.directory(), {}),
-      readiness_server(io, routed_parts.readiness(), {}),
-      stop(context, {heartbeats, ledger, routed_parts.entry(), entry_server,
+      order_server(io, routed_services.orders(), {}),
+      directory_server(io, routed_services.directory(), {}),
+      readiness_server(io, routed_services.readiness(), {}),
+      stop(context, {heartbeats, ledger, routed_services.entry(), entry_server,
                      forward_server, operator_server}),
       node_gauges(prometheus::BuildGauge()
                       .Name("trestlepost_node")
@@ -291,7 +292,7 @@
                           .Add({}, confirm_buckets)) {
   // Higher than any sequence number sent before a restart, so that peers accept
   // the new heartbeats as newer.
-  sequence = static_cast<std::uint64_t>(to_unix_ms(base.clock.wall_now()));
+  sequence = static_cast<std::uint64_t>(to_unix_ms(resources.clock.wall_now()));
 }
 
 membership::heartbeat node::implementation::make_heartbeat() {
@@ -305,7 +306,7 @@
   for (const auto& [name, it] : store.services()) {
     out.services[name] = local.queue().load_of(name);
   }
-  if (routed()) routed_parts.add_loads(out);
+  if (routed()) routed_services.add_loads(out);
   return out;
 }
 
@@ -316,7 +317,7 @@
     if (it->region != options.region) continue;
     own.push_back({name, it->service, it->address, it->slots, it->drained});
   }
-  endpoints.declare(own, base.clock.now());
+  endpoints.declare(own, resources.clock.now());
 }
 
 void node::implementation::connect_crash_reports() {
@@ -354,10 +355,10 @@
       [this](const std::string& address) { links.renew(address); });
   watch.on_changed = [this] {
     declare_endpoints();
-    if (routed()) routed_parts.take_plan(entry_server);
+    if (routed()) routed_services.apply_plan(entry_server);
   };
-  heartbeats.on_region_heard = [this](const membership::endpoint_sums& it) {
-    routed_parts.share_pending(it);
+  heartbeats.on_region_loads = [this](const membership::endpoint_sums& it) {
+    routed_services.apply_region_sums(it);
   };
   operators.on_drain = [this] { stop.begin(); };
   connect_crash_reports();
@@ -365,9 +366,9 @@
   ledger.start();
   heartbeats.start();
   operators.start();
-  routed_parts.start();
+  routed_services.start();
   declare_endpoints();
-  if (routed()) routed_parts.take_plan(entry_server);
+  if (routed()) routed_services.apply_plan(entry_server);
   result<void> opened = listen_all();
   if (!opened) return opened;
   signals.add(SIGTERM);
@@ -406,10 +407,10 @@
   // none of them wakes the event loop. This timer does, and the others expire
   // with it.
   boost::asio::steady_timer timer(io);
-  monotonic_time due = base.clock.now();
+  monotonic_time due = resources.clock.now();
   while (!stop.ended()) {
-    const monotonic_time now = base.clock.now();
-    note_turn(due);
+    const monotonic_time now = resources.clock.now();
+    record_tick_delay(due);
     client.end_overdue(now);
     reload_if_changed(false);
     state.tick(now, store.revision() > 0);
@@ -417,19 +418,19 @@
     watch.tick();
     const auto founding = watch.ledgers().find(options.region);
     if (founding != watch.ledgers().end() && options.gateway) {
-      ledger.learn(founding->second);
+      ledger.start_replica(founding->second);
     }
     ledger.tick();
     heartbeats.tick();
     crashes.tick();
     crash_reports.tick();
     if (!routed()) probes.tick();
-    routed_parts.tick();
+    routed_services.tick();
     endpoints.tick(now);
     local.queue().pump_all();
     operators.tick();
     collect_metrics();
-    due = base.clock.now() + tick_interval;
+    due = resources.clock.now() + tick_interval;
     timer.expires_after(tick_interval);
     boost::system::error_code ec;
     co_await timer.async_wait(
@@ -437,11 +438,11 @@
   }
 }
 
-void node::implementation::note_turn(monotonic_time due) {
+void node::implementation::record_tick_delay(monotonic_time due) {
   const milliseconds late =
-      std::chrono::duration_cast<milliseconds>(base.clock.now() - due);
-  longest_turn = std::max(longest_turn, late);
-  if (late < long_turn) return;
+      std::chrono::duration_cast<milliseconds>(resources.clock.now() - due);
+  max_tick_delay = std::max(max_tick_delay, late);
+  if (late < stall_threshold) return;
   log_event(log_level::warn, "event-loop-stalled",
             {{"ms", std::to_string(late.count())}});
 }
@@ -454,7 +455,7 @@
   set("ready", state.crosses_regions() ? 1 : 0);
   set("isolated", state.is(membership::node_states::isolated) ? 1 : 0);
   set("leads_configuration", control && control->leads() ? 1 : 0);
-  set("longest_turn_ms", static_cast<double>(longest_turn.count()));
+  set("longest_turn_ms", static_cast<double>(max_tick_delay.count()));
   set("configurations_sent",
       control ? static_cast<double>(control->contents_sent()) : 0);
   set("ledger_records", static_cast<double>(ledger.records()));
@@ -464,7 +465,7 @@
   set("peer_messages_dropped",
       static_cast<double>(links.traffic().messages_dropped));
   set("platform_entries_unreadable",
-      static_cast<double>(routed_parts.unreadable_entries()));
+      static_cast<double>(routed_services.unreadable_entries()));
   set("peer_strangers_refused",
       static_cast<double>(peer_server.traffic().strangers_refused));
 }
@@ -484,7 +485,7 @@
 }
 
 void node::implementation::reload_if_changed(bool at_once) {
-  if (!file_watch.changed(base.clock.now(), at_once)) return;
+  if (!file_watch.changed(resources.clock.now(), at_once)) return;
   const result<settings> next = load_settings(file_watch.file());
   if (!next) {
     log_event(
@@ -492,11 +493,11 @@
         {{"detail", next.error().message}, {"remedy", next.error().remedy}});
     return;
   }
-  take_settings(*next);
+  apply_settings(*next);
   log_event(log_level::info, "settings-reloaded");
 }
 
-void node::implementation::take_settings(const settings& next) {
+void node::implementation::apply_settings(const settings& next) {
   // The node's identity, addresses and data folder change only by a restart.
   options.seeds = next.seeds;
   options.operators = next.operators;
@@ -504,8 +505,8 @@
   options.zone_regions = next.zone_regions;
   options.timing = next.timing;
   options.tolerated_losses = next.tolerated_losses;
-  options.log_lowest = next.log_lowest;
-  set_log_level(next.log_lowest);
+  options.min_log_level = next.min_log_level;
+  set_log_level(next.min_log_level);
 }
 
 node::node(settings options, std::string file)
@@ -514,10 +515,11 @@
 node::~node() = default;
 
 result<void> node::start() {
-  base_ = std::make_unique<foundation>();
-  result<void> prepared = base_->prepare(options_);
+  resources_ = std::make_unique<node_resources>();
+  result<void> prepared = resources_->prepare(options_);
   if (!prepared) return prepared;
-  implementation_ = std::make_unique<implementation>(options_, *base_, file_);
+  implementation_ =
+      std::make_unique<implementation>(options_, *resources_, file_);
   return implementation_->start();
 }
 
--- a/node/src/node.h
+++ b/node/src/node.h
@@ -22,12 +22,12 @@
   void run();
 
  private:
-  struct foundation;
+  struct node_resources;
   struct implementation;
 
   settings options_;
   std::string file_;
-  std::unique_ptr<foundation> base_;
+  std::unique_ptr<node_resources> resources_;
   std::unique_ptr<implementation> implementation_;
 };
 
--- a/node/src/node_context.h
+++ b/node/src/node_context.h
@@ -33,22 +33,22 @@
   transport::rpc_dispatcher& peers;
   transport::http_client& client;
   /// The other nodes by name, as sent by the leader.
-  std::map<std::string, membership::node_info> book;
+  std::map<std::string, membership::node_info> known_nodes;
   /// Smoothed round-trip times by region.
   std::map<std::string, std::chrono::milliseconds> round_trips;
 
   /// The peer addresses from which control nodes last sent a message, by name.
-  std::map<std::string, std::string> heard_from;
+  std::map<std::string, std::string> observed_addresses;
 
   /// The peer address of a node, or empty.
   std::string peer_address(const std::string& node) const {
-    const auto heard = heard_from.find(node);
-    if (heard != heard_from.end()) return heard->second;
+    const auto heard = observed_addresses.find(node);
+    if (heard != observed_addresses.end()) return heard->second;
     for (const control_node& it : options.control_nodes) {
       if (it.name == node) return it.address;
     }
-    const auto it = book.find(node);
-    if (it != book.end()) return it->second.peer_address;
+    const auto it = known_nodes.find(node);
+    if (it != known_nodes.end()) return it->second.peer_address;
     const membership::node_record* record = nodes.find(node);
     return record == nullptr ? "" : record->last.node.peer_address;
   }
@@ -61,7 +61,7 @@
       out.insert(it.address);
     }
     if (out.empty()) out.insert(options.seeds.begin(), options.seeds.end());
-    for (const auto& [name, it] : book) {
+    for (const auto& [name, it] : known_nodes) {
       if (it.control) out.insert(it.peer_address);
     }
     for (const membership::node_record* it : nodes.all()) {
--- a/node/src/node_book.h
+++ b/node/src/node_directory.h
@@ -13,7 +13,7 @@
 
 /// Assigns a version to each change of an entry, so that a node is sent only
 /// the entries that have changed since its last poll.
-class node_book {
+class node_directory {
  public:
   /// Adds or updates the entry of a node.
   void record(const membership::node_info& info);
@@ -22,8 +22,8 @@
   /// Adds to `update` the entries changed since `version` that a node in
   /// `region` needs: nodes of its region, control nodes, and nodes with a disk
   /// in other regions, which may be relays.
-  void add_news(json& update, std::uint64_t version,
-                const std::string& region) const;
+  void add_changes(json& update, std::uint64_t version,
+                   const std::string& region) const;
 
  private:
   struct entry {
--- a/node/src/operator_service.cc
+++ b/node/src/operator_service.cc
@@ -25,8 +25,8 @@
 
 bool role_covers(const std::string& has, const std::string& needed) {
   const auto own = std::find(roles.begin(), roles.end(), has);
-  const auto least = std::find(roles.begin(), roles.end(), needed);
-  return own != roles.end() && own >= least;
+  const auto required = std::find(roles.begin(), roles.end(), needed);
+  return own != roles.end() && own >= required;
 }
 
 tl::unexpected<error> role_refused(const std::string& needed) {
@@ -98,15 +98,16 @@
 void operator_service::start() {
   add_methods();
   context_.peers.add_notification(
-      "operator.ask",
-      [this](const json& params, const rpc_context&) { handle_ask(params); });
+      "operator.ask", [this](const json& params, const rpc_context&) {
+        handle_relayed_call(params);
+      });
   context_.peers.add_notification(
       "operator.answer", [this](const json& params, const rpc_context&) {
-        handle_answer(params);
+        handle_relayed_answer(params);
       });
 }
 
-void operator_service::add_fast(
+void operator_service::add_sync_method(
     const std::string& name, const std::string& role,
     std::function<result<json>(const json&)> method) {
   dispatcher_.add_method(
@@ -118,25 +119,26 @@
       });
 }
 
-void operator_service::add_slow(const std::string& name,
-                                const std::string& role, bool at_founder,
-                                slow_method local) {
-  slow_[name] = std::move(local);
+void operator_service::add_async_method(const std::string& name,
+                                        const std::string& role,
+                                        bool on_founder, async_method local) {
+  async_methods_[name] = std::move(local);
   dispatcher_.add_method(
       name,
-      [this, name, role, at_founder](
+      [this, name, role, on_founder](
           const json& params, const rpc_context& caller) -> result<json> {
         if (!role_covers(caller.role, role)) return role_refused(role);
         const std::string ticket = tickets_.open(
             make_request_id(context_.random), context_.clock.now());
-        if (runs_here(at_founder)) {
-          slow_.at(name)(params, caller, [this, ticket](result<json> answer) {
-            tickets_.close(ticket, std::move(answer));
-          });
+        if (runs_here(on_founder)) {
+          async_methods_.at(name)(params, caller,
+                                  [this, ticket](result<json> answer) {
+                                    tickets_.close(ticket, std::move(answer));
+                                  });
           return tickets_.read(ticket);
         }
         relayed_call call;
-        if (at_founder) {
+        if (on_founder) {
           call.target = context_.options.control_nodes.front().name;
         }
         call.params["method"] = name;
@@ -149,47 +151,51 @@
 }
 
 void operator_service::add_methods() {
-  add_fast("status", "read", [this](const json&) { return status(); });
-  add_fast("get", "read", [this](const json& params) { return get(params); });
-  add_fast("explain", "read",
-           [this](const json& params) { return explain(params); });
-  add_fast("held", "read", [this](const json&) { return held_requests(); });
-  add_fast("ticket", "read", [this](const json& params) {
+  add_sync_method("status", "read", [this](const json&) { return status(); });
+  add_sync_method("get", "read",
+                  [this](const json& params) { return get(params); });
+  add_sync_method("explain", "read",
+                  [this](const json& params) { return explain(params); });
+  add_sync_method("held", "read",
+                  [this](const json&) { return held_requests(); });
+  add_sync_method("ticket", "read", [this](const json& params) {
     return tickets_.read(text_of(params, "ticket"));
   });
-  add_fast("drain", "change", [this](const json&) -> result<json> {
+  add_sync_method("drain", "change", [this](const json&) -> result<json> {
     if (on_drain) on_drain();
     json out;
     out["state"] = context_.state.name();
     return out;
   });
-  add_fast("recover", "found", [this](const json&) -> result<json> {
+  add_sync_method("recover", "found", [this](const json&) -> result<json> {
     if (control_ != nullptr) return control_->recover();
     return fail(error_kind::bad_input, "this node is not a control node",
                 "run it against the control node that kept its disk");
   });
-  add_slow(
+  add_async_method(
       "apply", "change", false,
       [this](const json& params, const rpc_context& caller,
              const answer_function& answer) { apply(params, caller, answer); });
-  add_slow("release", "change", false,
-           [this](const json& params, const rpc_context& caller,
-                  const answer_function& answer) {
-             release(params, caller, answer);
-           });
-  add_slow("audit", "read", false,
-           [this](const json& params, const rpc_context&,
-                  const answer_function& answer) {
-             control_->read_audit(params, answer);
-           });
-  add_slow("init", "found", true,
-           [this](const json&, const rpc_context&,
-                  const answer_function& answer) { control_->found(answer); });
+  add_async_method("release", "change", false,
+                   [this](const json& params, const rpc_context& caller,
+                          const answer_function& answer) {
+                     release(params, caller, answer);
+                   });
+  add_async_method("audit", "read", false,
+                   [this](const json& params, const rpc_context&,
+                          const answer_function& answer) {
+                     control_->read_audit(params, answer);
+                   });
+  add_async_method(
+      "init", "found", true,
+      [this](const json&, const rpc_context&, const answer_function& answer) {
+        control_->found(answer);
+      });
 }
 
-bool operator_service::runs_here(bool at_founder) const {
+bool operator_service::runs_here(bool on_founder) const {
   if (control_ == nullptr) return false;
-  if (at_founder) {
+  if (on_founder) {
     return context_.options.control_nodes.front().name == context_.self.name;
   }
   return control_->leads();
@@ -255,10 +261,10 @@
                       call.params);
 }
 
-void operator_service::handle_ask(const json& params) {
+void operator_service::handle_relayed_call(const json& params) {
   const std::string name = text_of(params, "method");
-  const auto method = slow_.find(name);
-  if (method == slow_.end() || control_ == nullptr) return;
+  const auto method = async_methods_.find(name);
+  if (method == async_methods_.end() || control_ == nullptr) return;
   const std::string ticket = text_of(params, "ticket");
   const std::string reply_to = text_of(params, "reply_to");
   const rpc_context caller{text_of(params, "operator"),
@@ -270,11 +276,11 @@
                  [this, ticket, reply_to](const result<json>& answer) {
                    // Temporary errors are not sent back: the relaying node
                    // repeats the call until it receives an outcome.
-                   const bool passing =
+                   const bool temporary =
                        !answer &&
                        (answer.error().kind == error_kind::in_progress ||
                         answer.error().kind == error_kind::not_leader);
-                   if (passing) return;
+                   if (temporary) return;
                    json out;
                    out["ticket"] = ticket;
                    if (answer) {
@@ -286,7 +292,7 @@
                  });
 }
 
-void operator_service::handle_answer(const json& params) {
+void operator_service::handle_relayed_answer(const json& params) {
   const std::string ticket = text_of(params, "ticket");
   relayed_.erase(ticket);
   const json& failed = member_of(params, "error");
@@ -344,11 +350,12 @@
     one["address"] = last.node.caller_address;
     one["state"] = last.state;
     one["revision"] = as_number(last.revision);
-    const membership::peer_state heard = context_.nodes.state_of(*it, now);
+    const membership::peer_state liveness = context_.nodes.state_of(*it, now);
     one["heard"] =
-        heard == membership::peer_state::live
+        liveness == membership::peer_state::live
             ? "live"
-            : (heard == membership::peer_state::suspect ? "suspect" : "dead");
+            : (liveness == membership::peer_state::suspect ? "suspect"
+                                                           : "dead");
     one["in_force"] = last.revision >= context_.store.revision();
     out.append(std::move(one));
   }
--- a/node/src/operator_service.h
+++ b/node/src/operator_service.h
@@ -48,18 +48,18 @@
   };
 
   void add_methods();
-  /// Adds a method that runs on the leader, or with `at_founder` on the first
+  /// Adds a method that runs on the leader, or with `on_founder` on the first
   /// control node, and completes later.
-  void add_slow(const std::string& name, const std::string& role,
-                bool at_founder, slow_method local);
+  void add_async_method(const std::string& name, const std::string& role,
+                        bool on_founder, async_method local);
   /// Adds a method that any node answers immediately.
-  void add_fast(const std::string& name, const std::string& role,
-                std::function<result<json>(const json&)> method);
-  void handle_ask(const json& params);
-  void handle_answer(const json& params);
+  void add_sync_method(const std::string& name, const std::string& role,
+                       std::function<result<json>(const json&)> method);
+  void handle_relayed_call(const json& params);
+  void handle_relayed_answer(const json& params);
   void relay(const std::string& ticket, relayed_call call);
   void send_relayed(relayed_call& call);
-  bool runs_here(bool at_founder) const;
+  bool runs_here(bool on_founder) const;
   result<transport::rpc_context> authenticate(
       const transport::http_exchange& exchange) const;
 
@@ -84,7 +84,7 @@
   prometheus::Registry& registry_;
   transport::rpc_dispatcher dispatcher_;
   ticket_table tickets_;
-  std::map<std::string, slow_method> slow_;
+  std::map<std::string, async_method> async_methods_;
   std::map<std::string, relayed_call> relayed_;
 };
 
--- a/node/src/peer_calls.cc
+++ b/node/src/peer_calls.cc
@@ -8,14 +8,14 @@
 
 constexpr char answer_method[] = "call.answer";
 // Longer than any order waits for its result.
-constexpr std::chrono::milliseconds call_lifetime{2000};
+constexpr std::chrono::milliseconds call_timeout{2000};
 
 }  // namespace
 
 void peer_calls::start() {
   context_.peers.add_notification(
       answer_method, [this](const json& params, const transport::rpc_context&) {
-        take_answer(params);
+        handle_answer(params);
       });
 }
 
@@ -43,15 +43,15 @@
   const std::uint64_t token = next_token_++;
   params["token"] = as_number(token);
   params["reply_to"] = context_.self.peer_address;
-  open_[token] = {std::move(answer), context_.clock.now()};
+  pending_[token] = {std::move(answer), context_.clock.now()};
   context_.links.send(address, method, params);
 }
 
-void peer_calls::take_answer(const json& params) {
-  const auto found = open_.find(number_of(params, "token"));
-  if (found == open_.end()) return;
+void peer_calls::handle_answer(const json& params) {
+  const auto found = pending_.find(number_of(params, "token"));
+  if (found == pending_.end()) return;
   const answer_function answer = std::move(found->second.answer);
-  open_.erase(found);
+  pending_.erase(found);
   const json& failed = member_of(params, "error");
   if (failed.isObject()) {
     answer(tl::make_unexpected(error_from(failed)));
@@ -63,9 +63,10 @@
 void peer_calls::tick() {
   const monotonic_time now = context_.clock.now();
   // Tokens ascend in the order of the calls.
-  while (!open_.empty() && open_.begin()->second.since + call_lifetime < now) {
-    const answer_function answer = std::move(open_.begin()->second.answer);
-    open_.erase(open_.begin());
+  while (!pending_.empty() &&
+         pending_.begin()->second.since + call_timeout < now) {
+    const answer_function answer = std::move(pending_.begin()->second.answer);
+    pending_.erase(pending_.begin());
     answer(fail(error_kind::outcome_unknown, "the leader did not answer",
                 "send the same call again"));
   }
--- a/node/src/peer_calls.h
+++ b/node/src/peer_calls.h
@@ -31,15 +31,15 @@
             answer_function answer);
 
  private:
-  struct open_call {
+  struct pending_call {
     answer_function answer;
     monotonic_time since;
   };
 
-  void take_answer(const json& params);
+  void handle_answer(const json& params);
 
   node_context& context_;
-  std::map<std::uint64_t, open_call> open_;
+  std::map<std::uint64_t, pending_call> pending_;
   std::uint64_t next_token_ = 1;
 };
 
--- a/node/src/planned_stop.cc
+++ b/node/src/planned_stop.cc
@@ -19,34 +19,34 @@
 constexpr milliseconds exit_margin{400};
 // Minimum time between the announcement of a stop and the exit, so that peers
 // and callers receive it.
-constexpr milliseconds announce_time{1500};
+constexpr milliseconds min_announce_time{1500};
 
 }  // namespace
 
 void planned_stop::begin() {
-  if (begun_) return;
-  begun_ = true;
+  if (started_) return;
+  started_ = true;
   context_.state.order_stop();
-  parts_.heartbeats.announce();
+  services_.heartbeats.announce();
   boost::asio::co_spawn(context_.io, finish(), boost::asio::detached);
 }
 
 bool planned_stop::may_end(monotonic_time started) {
   const timing_settings& timing = context_.options.timing;
   const monotonic_time now = context_.clock.now();
-  const bool taking = now < started + timing.drain_grace;
-  if (!taking) parts_.routed_entry.stop_taking();
-  const bool idle = parts_.entry_server.in_progress() == 0 &&
-                    parts_.forward_server.in_progress() == 0 &&
-                    parts_.ledger.pending() == 0;
-  const bool announced = now >= started + announce_time && !taking;
-  const bool late = now + exit_margin >= started + timing.drain_timeout;
-  return (idle && announced) || late;
+  const bool accepting = now < started + timing.drain_grace;
+  if (!accepting) services_.routed_entry.stop_taking();
+  const bool idle = services_.entry_server.in_progress() == 0 &&
+                    services_.forward_server.in_progress() == 0 &&
+                    services_.ledger.pending() == 0;
+  const bool announced = now >= started + min_announce_time && !accepting;
+  const bool near_timeout = now + exit_margin >= started + timing.drain_timeout;
+  return (idle && announced) || near_timeout;
 }
 
 awaitable<void> planned_stop::finish() {
   const monotonic_time started = context_.clock.now();
-  parts_.entry_server.close_after_answers();
+  services_.entry_server.close_after_answers();
   transport::timer timer(context_.io);
   while (!may_end(started)) {
     timer.expires_after(check_interval);
@@ -54,14 +54,14 @@
     co_await timer.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   }
-  log_event(
-      log_level::info, "node-stopped",
-      {{"in_progress", std::to_string(parts_.entry_server.in_progress() +
-                                      parts_.forward_server.in_progress())}});
+  log_event(log_level::info, "node-stopped",
+            {{"in_progress",
+              std::to_string(services_.entry_server.in_progress() +
+                             services_.forward_server.in_progress())}});
   ended_ = true;
-  parts_.entry_server.drain();
-  parts_.forward_server.drain();
-  parts_.operator_server.drain();
+  services_.entry_server.drain();
+  services_.forward_server.drain();
+  services_.operator_server.drain();
   context_.io.stop();
 }
 
--- a/node/src/planned_stop.h
+++ b/node/src/planned_stop.h
@@ -14,7 +14,7 @@
 class planned_stop {
  public:
   /// The services that are notified, waited for and shut down.
-  struct parts {
+  struct services {
     heartbeat_service& heartbeats;
     ledger_service& ledger;
     gateway::route_handler& routed_entry;
@@ -23,8 +23,8 @@
     transport::http_server& operator_server;
   };
 
-  planned_stop(node_context& context, const parts& of)
-      : context_(context), parts_(of) {}
+  planned_stop(node_context& context, const services& of)
+      : context_(context), services_(of) {}
 
   /// Begins the stop. Further calls have no effect.
   void begin();
@@ -35,8 +35,8 @@
   bool may_end(monotonic_time started);
 
   node_context& context_;
-  parts parts_;
-  bool begun_ = false;
+  services services_;
+  bool started_ = false;
   bool ended_ = false;
 };
 
--- a/node/src/poll_schedule.cc
+++ b/node/src/poll_schedule.cc
@@ -11,18 +11,19 @@
 
 }  // namespace
 
-std::chrono::milliseconds time_to_next_poll(const poll_situation& now,
-                                            std::chrono::milliseconds usual) {
-  return now.confirmed ? usual : std::min(urgent_interval, usual);
+std::chrono::milliseconds time_to_next_poll(
+    const poll_state& state, std::chrono::milliseconds default_interval) {
+  return state.confirmed ? default_interval
+                         : std::min(urgent_interval, default_interval);
 }
 
-std::vector<std::string> whom_to_ask(const poll_situation& now,
-                                     const std::string& leader_address,
-                                     const std::vector<std::string>& all,
-                                     leader_finder& finder) {
-  if (!now.has_configuration && !now.confirmed) return all;
+std::vector<std::string> poll_targets(const poll_state& state,
+                                      const std::string& leader_address,
+                                      const std::vector<std::string>& all,
+                                      leader_finder& finder) {
+  if (!state.has_configuration && !state.confirmed) return all;
   if (!leader_address.empty()) return {leader_address};
-  return {finder.next_of(all)};
+  return {finder.select_next(all)};
 }
 
 }  // namespace trestlepost::node
--- a/node/src/poll_schedule.h
+++ b/node/src/poll_schedule.h
@@ -11,7 +11,7 @@
 namespace trestlepost::node {
 
 /// The state of a node's configuration at the time of a poll.
-struct poll_situation {
+struct poll_state {
   bool has_configuration = false;
   /// A leader has recently confirmed that the configuration is current, or that
   /// none exists yet.
@@ -19,11 +19,11 @@
 };
 
 /// Time until the next poll. An unconfirmed node sends no requests to other
-/// regions and accepts no configuration, so it polls often. `usual` is the
-/// interval of a confirmed node; it also applies while no configuration exists,
-/// since the first one is pushed.
-std::chrono::milliseconds time_to_next_poll(const poll_situation& now,
-                                            std::chrono::milliseconds usual);
+/// regions and accepts no configuration, so it polls often. `default_interval`
+/// is the interval of a confirmed node; it also applies while no configuration
+/// exists, since the first one is pushed.
+std::chrono::milliseconds time_to_next_poll(
+    const poll_state& state, std::chrono::milliseconds default_interval);
 
 /// The addresses to poll now. A node without a configuration polls all control
 /// nodes, unless a leader has reported that none exists yet: polled in turn,
@@ -31,9 +31,9 @@
 /// polls the leader, or the next control node in turn while no leader is known:
 /// when 300 nodes all polled five control nodes, the overloaded leader kept
 /// losing its lease and the first plan was never acknowledged.
-std::vector<std::string> whom_to_ask(const poll_situation& now,
-                                     const std::string& leader_address,
-                                     const std::vector<std::string>& all,
-                                     leader_finder& finder);
+std::vector<std::string> poll_targets(const poll_state& state,
+                                      const std::string& leader_address,
+                                      const std::vector<std::string>& all,
+                                      leader_finder& finder);
 
 }  // namespace trestlepost::node
--- a/node/src/probe_service.cc
+++ b/node/src/probe_service.cc
@@ -13,7 +13,7 @@
 using transport::awaitable;
 
 constexpr std::chrono::milliseconds probe_timeout{1000};
-constexpr std::size_t largest_report = 1024UL * 1024;  // bytes
+constexpr std::size_t max_report_bytes = 1024UL * 1024;
 constexpr std::size_t probers_per_endpoint = 2;
 constexpr unsigned ok_status = 200;
 
@@ -21,15 +21,15 @@
 
 bool probe_service::is_prober_of(const std::string& endpoint) const {
   const std::uint64_t own = rendezvous_score(endpoint, context_.self.name);
-  std::size_t better = 0;
+  std::size_t preceding = 0;
   for (const membership::node_record* it :
        context_.nodes.live_in(context_.self.region, context_.clock.now())) {
     const std::string& name = it->last.node.name;
     if (name != context_.self.name && rendezvous_score(endpoint, name) > own) {
-      ++better;
+      ++preceding;
     }
   }
-  return better < probers_per_endpoint;
+  return preceding < probers_per_endpoint;
 }
 
 awaitable<void> probe_service::read_load(std::string endpoint,
@@ -48,7 +48,7 @@
     }
     co_return;
   }
-  const result<std::string> body = co_await call->read_rest(largest_report);
+  const result<std::string> body = co_await call->read_rest(max_report_bytes);
   const result<json> parsed =
       body ? parse_json(*body)
            : result<json>(tl::make_unexpected(body.error()));
@@ -67,7 +67,7 @@
   const tl::expected<void, transport::call_failure> sent = co_await call->send(
       std::move(request), context_.clock.now() + probe_timeout);
   if (!sent) co_return;
-  const result<std::string> body = co_await call->read_rest(largest_report);
+  const result<std::string> body = co_await call->read_rest(max_report_bytes);
   if (!body) co_return;
   const result<surface::endpoint_page> page = directory_.read_page(*body);
   if (!page) {
--- a/node/src/region_peers.cc
+++ b/node/src/region_peers.cc
@@ -9,9 +9,10 @@
 
 using membership::node_record;
 
-std::map<std::string, std::string> region_mates(const node_context& context) {
+std::map<std::string, std::string> peers_in_region(
+    const node_context& context) {
   std::map<std::string, std::string> out;
-  for (const auto& [name, it] : context.book) {
+  for (const auto& [name, it] : context.known_nodes) {
     if (it.region == context.self.region) out[name] = it.peer_address;
   }
   for (const node_record* it : context.nodes.all()) {
@@ -22,19 +23,19 @@
   return out;
 }
 
-bool sends_by_relays(const node_context& context) {
-  return region_mates(context).size() + 1 > membership::largest_mesh;
+bool uses_relays(const node_context& context) {
+  return peers_in_region(context).size() + 1 > membership::largest_mesh;
 }
 
 std::chrono::milliseconds heartbeat_interval(const node_context& context) {
   return membership::beat_interval(context.options.timing.heartbeat_interval,
-                                   region_mates(context).size() + 1,
+                                   peers_in_region(context).size() + 1,
                                    context.nodes.options());
 }
 
 std::vector<std::string> other_regions(const node_context& context) {
   std::set<std::string> out;
-  for (const auto& [name, it] : context.book) out.insert(it.region);
+  for (const auto& [name, it] : context.known_nodes) out.insert(it.region);
   for (const std::string& it : context.nodes.regions()) out.insert(it);
   out.erase(context.self.region);
   return {out.begin(), out.end()};
@@ -49,7 +50,7 @@
   }
   if (!out.empty()) return out;
   // No node there is known to be live: try those in the directory.
-  for (const auto& [name, it] : context.book) {
+  for (const auto& [name, it] : context.known_nodes) {
     const bool room = out.size() < membership::relays_per_region;
     if (it.region == region && room) out.push_back(it.peer_address);
   }
--- a/node/src/region_peers.h
+++ b/node/src/region_peers.h
@@ -13,12 +13,12 @@
 
 /// The peer addresses of the other nodes of the own region by name, including
 /// nodes that are not reachable now.
-std::map<std::string, std::string> region_mates(const node_context& context);
+std::map<std::string, std::string> peers_in_region(const node_context& context);
 
 /// Whether the region is so large that heartbeats go to its relays only.
 /// Unreachable nodes count, too: a region that loses nodes must not switch to
 /// another protocol at that moment.
-bool sends_by_relays(const node_context& context);
+bool uses_relays(const node_context& context);
 
 /// Time between two heartbeats of a node; grows with the size of the region.
 std::chrono::milliseconds heartbeat_interval(const node_context& context);
--- a/node/src/routed_gateway.cc
+++ b/node/src/routed_gateway.cc
@@ -19,28 +19,29 @@
       service_(gateway, surfaces_, pool_, crashes, context.options.retries),
       entry_(gateway, surfaces_, service_, routes_),
       forwards_(gateway, service_, routes_, others),
-      listing_(context, surfaces_.directory.get()),
+      endpoint_list_(context, surfaces_.directory.get()),
       orders_(context, control, surfaces_.operators.get()),
       directory_(context, surfaces_.entries.get()),
       readiness_(context, surfaces_.entries.get()) {}
 
 void routed_gateway::start() {
-  listing_.on_listed = [this](const std::vector<surface::listed_endpoint>& all,
-                              config::revision_number covers) {
-    pool_.learn(all, covers, context_.options.zone_regions);
-  };
-  listing_.start();
+  endpoint_list_.on_listed =
+      [this](const std::vector<surface::listed_endpoint>& all,
+             config::revision_number covered_revision) {
+        pool_.learn(all, covered_revision, context_.options.zone_regions);
+      };
+  endpoint_list_.start();
 }
 
 void routed_gateway::tick() {
   const settings& options = context_.options;
   const bool routed = options.surface == surface_kind::platform;
-  if (routed && options.gateway) listing_.tick();
+  if (routed && options.gateway) endpoint_list_.tick();
   pool_.tick();
   service_.tick();
 }
 
-void routed_gateway::take_plan(transport::http_server& entry_server) {
+void routed_gateway::apply_plan(transport::http_server& entry_server) {
   const config::plan_ptr& plan = context_.store.plan();
   if (plan && plan != routes_.plan()) {
     routes_ = routing::route_table(plan);
@@ -60,7 +61,8 @@
   pool_.refresh();
 }
 
-void routed_gateway::share_pending(const membership::endpoint_sums& others) {
+void routed_gateway::apply_region_sums(
+    const membership::endpoint_sums& others) {
   pool_.engines().set_others(others.pending);
   for (const membership::cached_prefix& it : others.cached_prefixes) {
     pool_.engines().note_prefix(it);
--- a/node/src/routed_gateway.h
+++ b/node/src/routed_gateway.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "control_service.h"
+#include "endpoint_list_service.h"
 #include "entry_handlers.h"
-#include "listing_service.h"
 #include "node_context.h"
 #include "order_handler.h"
 #include "trestlepost/gateway/endpoint_pool.h"
@@ -29,14 +29,14 @@
   void tick();
   /// Applies the plan of a changed configuration, with its request limits for
   /// `entry_server`.
-  void take_plan(transport::http_server& entry_server);
+  void apply_plan(transport::http_server& entry_server);
   /// Updates the load that the region's other gateways have put on endpoints.
-  void share_pending(const membership::endpoint_sums& others);
+  void apply_region_sums(const membership::endpoint_sums& others);
   /// Adds the loads of services and endpoints to a heartbeat.
   void add_loads(membership::heartbeat& beat);
 
   /// The number of unusable entries in the platform's list.
-  std::size_t unreadable_entries() const { return listing_.unreadable(); }
+  std::size_t unreadable_entries() const { return endpoint_list_.unreadable(); }
 
   gateway::route_handler& entry() { return entry_; }
   transport::http_handler& forwards() { return forwards_; }
@@ -52,7 +52,7 @@
   gateway::route_service service_;
   gateway::route_handler entry_;
   gateway::route_forward_handler forwards_;
-  listing_service listing_;
+  endpoint_list_service endpoint_list_;
   order_handler orders_;
   directory_handler directory_;
   readiness_handler readiness_;
--- a/node/src/settings.cc
+++ b/node/src/settings.cc
@@ -13,10 +13,10 @@
 namespace trestlepost::node {
 namespace {
 
-constexpr std::size_t shortest_secret = 16;
-constexpr std::uint64_t largest_port = 65535;
-constexpr std::uint64_t most_tolerated = 10;
-constexpr double most_slack = 1e6;
+constexpr std::size_t min_secret_size = 16;
+constexpr std::uint64_t max_port = 65535;
+constexpr std::uint64_t max_tolerated_losses = 10;
+constexpr double max_retry_slack = 1e6;
 constexpr char settings_remedy[] =
     "correct the settings and start the node again";
 
@@ -37,7 +37,7 @@
     read_roles(reader);
     out_.data_folder = reader.text_or("data_folder", "");
     out_.charts_folder = reader.text("charts_folder");
-    first_port_ = reader.number_or("first_port", 0, 0, largest_port);
+    first_port_ = reader.number_or("first_port", 0, 0, max_port);
     read_surface(reader);
     read_addresses(reader);
     read_advertised(reader);
@@ -94,7 +94,7 @@
   void read_founding(object_reader& reader) {
     out_.found_at_first_start = reader.flag_or("found_at_first_start", false);
     out_.tolerated_losses =
-        reader.number_or("tolerated_losses", 0, 0, most_tolerated);
+        reader.number_or("tolerated_losses", 0, 0, max_tolerated_losses);
   }
 
   void read_retries(object_reader& outer) {
@@ -103,7 +103,7 @@
     object_reader reader(value, "retries", problems_);
     out_.retries.ratio = reader.real_or("ratio", out_.retries.ratio, 0, 1);
     out_.retries.slack =
-        reader.real_or("slack", out_.retries.slack, 0, most_slack);
+        reader.real_or("slack", out_.retries.slack, 0, max_retry_slack);
     reader.finish();
   }
 
@@ -128,7 +128,7 @@
   void read_addresses(object_reader& outer) {
     const json& value = outer.raw("addresses");
     object_reader reader(value, "addresses", problems_);
-    const auto read_any = [this, &reader](const char* key) {
+    const auto read_optional_address = [this, &reader](const char* key) {
       const bool given = !reader.raw(key).isNull();
       return given ? read_address(reader, key) : std::string();
     };
@@ -136,14 +136,14 @@
       out_.callers_address = read_address(reader, "callers");
       out_.forwards_address = read_address(reader, "forwards");
     } else {
-      out_.callers_address = read_any("callers");
-      out_.forwards_address = read_any("forwards");
+      out_.callers_address = read_optional_address("callers");
+      out_.forwards_address = read_optional_address("forwards");
     }
     out_.operators_address = read_address(reader, "operators");
     out_.peers_address = read_address(reader, "peers");
-    out_.readiness_address = read_any("readiness");
-    out_.directory_address = read_any("directory");
-    out_.orders_address = read_any("orders");
+    out_.readiness_address = read_optional_address("readiness");
+    out_.directory_address = read_optional_address("directory");
+    out_.orders_address = read_optional_address("orders");
     reader.finish();
     std::set<std::string> seen;
     for (const std::string& it :
@@ -181,9 +181,9 @@
       reader.finish();
       out_.control_nodes.push_back(one);
     }
-    const bool by_seeds =
+    const bool has_seeds =
         !outer.raw("seeds").isNull() && !outer.texts_or_empty("seeds").empty();
-    if (out_.control_nodes.empty() && !by_seeds) {
+    if (out_.control_nodes.empty() && !has_seeds) {
       problems_.add(outer.raw("control_nodes"), "control_nodes",
                     "no control node is named",
                     "list the name and the peer address of each (the first "
@@ -237,9 +237,9 @@
     object_reader reader(value, "log", problems_);
     const std::string level =
         reader.choice_or_first("level", {"info", "debug", "warn", "error"});
-    if (level == "debug") out_.log_lowest = log_level::debug;
-    if (level == "warn") out_.log_lowest = log_level::warn;
-    if (level == "error") out_.log_lowest = log_level::error;
+    if (level == "debug") out_.min_log_level = log_level::debug;
+    if (level == "warn") out_.min_log_level = log_level::warn;
+    if (level == "error") out_.min_log_level = log_level::error;
     out_.log_file = reader.text_or("file", "");
     reader.finish();
   }
@@ -247,12 +247,12 @@
   void read_limits(object_reader& outer) {
     const json& value = outer.raw("limits");
     if (value.isNull()) return;
-    constexpr std::uint64_t most = 1'000'000;
+    constexpr std::uint64_t max_limit = 1'000'000;
     object_reader reader(value, "limits", problems_);
     out_.queue_capacity =
-        reader.number_or("queue_capacity", out_.queue_capacity, 1, most);
+        reader.number_or("queue_capacity", out_.queue_capacity, 1, max_limit);
     out_.snapshot_every =
-        reader.number_or("snapshot_every", out_.snapshot_every, 10, most);
+        reader.number_or("snapshot_every", out_.snapshot_every, 10, max_limit);
     reader.finish();
   }
 
@@ -331,20 +331,20 @@
   }
   result<settings> out = parse_settings(read_file(file), file);
   if (!out) return out;
-  const result<void> checked = check_machine(*out, file);
+  const result<void> checked = check_environment(*out, file);
   if (!checked) return tl::make_unexpected(checked.error());
   return out;
 }
 
-result<void> check_machine(settings& value, const std::string& file) {
+result<void> check_environment(settings& value, const std::string& file) {
   problem_list problems;
-  const json nowhere;
+  const json no_position;
   if (!value.data_folder.empty()) {
     std::error_code ec;
     std::filesystem::create_directories(value.data_folder, ec);
     if (ec || ::access(value.data_folder.c_str(), W_OK) != 0) {
       problems.add(
-          nowhere, "data_folder", value.data_folder + " is not writable",
+          no_position, "data_folder", value.data_folder + " is not writable",
           "create it and make it writable for the user of this process");
     }
   }
@@ -353,8 +353,8 @@
          std::isspace(static_cast<unsigned char>(secret.back())) != 0) {
     secret.pop_back();
   }
-  if (secret.size() < shortest_secret) {
-    problems.add(nowhere, "peer_secret_file",
+  if (secret.size() < min_secret_size) {
+    problems.add(no_position, "peer_secret_file",
                  value.peer_secret + " has no secret of at least 16 characters",
                  "write the same random text into this file on all nodes");
   }
--- a/node/src/settings.h
+++ b/node/src/settings.h
@@ -88,7 +88,7 @@
   std::string peer_secret;
   std::vector<operator_account> operators;
   std::string platform_address;  // empty: no platform
-  log_level log_lowest = log_level::info;
+  log_level min_log_level = log_level::info;
   std::string log_file;
   std::size_t queue_capacity = 2000;
   std::size_t snapshot_every = 1000;
@@ -107,6 +107,6 @@
 
 /// Checks that the data folder is writable, and replaces the path in
 /// `peer_secret` by the content of the file.
-result<void> check_machine(settings& value, const std::string& file);
+result<void> check_environment(settings& value, const std::string& file);
 
 }  // namespace trestlepost::node
--- a/node/src/settings_watch.cc
+++ b/node/src/settings_watch.cc
@@ -7,7 +7,7 @@
 namespace trestlepost::node {
 namespace {
 
-constexpr std::chrono::milliseconds look_interval{1000};
+constexpr std::chrono::milliseconds check_interval{1000};
 
 }  // namespace
 
@@ -17,16 +17,16 @@
 }
 
 void settings_watch::start() {
-  if (!file_.empty()) seen_ = read();
+  if (!file_.empty()) last_content_ = read();
 }
 
 bool settings_watch::changed(monotonic_time now, bool at_once) {
-  if (file_.empty() || (!at_once && now < next_look_)) return false;
-  next_look_ = now + look_interval;
+  if (file_.empty() || (!at_once && now < next_check_)) return false;
+  next_check_ = now + check_interval;
   std::string text = read();
   // An empty file may be in the middle of being written; check again later.
-  if (text.empty() || text == seen_) return false;
-  seen_ = std::move(text);
+  if (text.empty() || text == last_content_) return false;
+  last_content_ = std::move(text);
   return true;
 }
 
--- a/node/src/settings_watch.h
+++ b/node/src/settings_watch.h
@@ -24,8 +24,8 @@
   std::string read() const;
 
   std::string file_;
-  std::string seen_;
-  monotonic_time next_look_;
+  std::string last_content_;
+  monotonic_time next_check_;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/ticket_table.h
+++ b/node/src/ticket_table.h
@@ -17,7 +17,7 @@
 using answer_function = std::function<void(result<json>)>;
 
 /// A method that calls `answer` once, immediately or later.
-using slow_method =
+using async_method =
     std::function<void(const json& params, const transport::rpc_context& caller,
                        const answer_function& answer)>;
 
--- a/node/src/unreadable_entries.h
+++ b/node/src/unreadable_entries.h
@@ -14,7 +14,7 @@
  public:
   /// Records the unusable entries of one read of the list. Logs each pair of
   /// entry and cause when it first occurs; returns how many were logged.
-  std::size_t note(const std::vector<surface::unreadable_entry>& found);
+  std::size_t record(const std::vector<surface::unreadable_entry>& found);
 
   /// The number of unusable entries in the last read.
   std::size_t count() const { return count_; }
--- a/node/src/watch_client.cc
+++ b/node/src/watch_client.cc
@@ -32,7 +32,7 @@
       });
 }
 
-poll_situation watch_client::situation() const {
+poll_state watch_client::situation() const {
   return {context_.store.revision() > 0,
           context_.state.confirmed_at(context_.clock.now())};
 }
@@ -44,8 +44,8 @@
                                        context_.options.timing.poll_interval);
   const std::string& leader = finder_.leader(now);
   const std::string known = leader.empty() ? "" : context_.peer_address(leader);
-  for (const std::string& it :
-       whom_to_ask(situation(), known, context_.control_addresses(), finder_)) {
+  for (const std::string& it : poll_targets(
+           situation(), known, context_.control_addresses(), finder_)) {
     poll(it);
   }
 }
@@ -91,8 +91,9 @@
   const monotonic_time now = context_.clock.now();
   const std::string leader = text_of(params, "leader");
   const std::string leader_address = text_of(params, "leader_address");
-  if (!leader_address.empty()) context_.heard_from[leader] = leader_address;
-  if (finder_.learn(leader, now)) next_poll_ = now;
+  if (!leader_address.empty())
+    context_.observed_addresses[leader] = leader_address;
+  if (finder_.set_leader(leader, now)) next_poll_ = now;
   if (flag_of(params, "stranger")) {
     introduced_to_.clear();
     next_poll_ = now;
@@ -156,7 +157,7 @@
 void watch_client::take_book(const json& update) {
   for (const json& it : member_of(update, "book")) {
     const membership::node_info info = membership::node_info_from(it);
-    if (!info.name.empty()) context_.book[info.name] = info;
+    if (!info.name.empty()) context_.known_nodes[info.name] = info;
   }
   book_version_ = number_of(update, "book_version");
   for (const json& it : member_of(update, "ledgers")) {
--- a/node/src/watch_client.h
+++ b/node/src/watch_client.h
@@ -37,7 +37,7 @@
     monotonic_time asked_at;
   };
 
-  poll_situation situation() const;
+  poll_state situation() const;
   void poll(const std::string& address);
   /// Who asks: its heartbeat when it has news for control nodes, else a sign
   /// of life.
--- a/node/test/leader_finder-test.cc
+++ b/node/test/leader_finder-test.cc
@@ -7,40 +7,40 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds patience{1500};
+constexpr milliseconds timeout{1500};
 const monotonic_time start{std::chrono::hours(1)};
 
-TEST(leader_finder_test, a_leader_learned_after_a_long_silence_is_asked) {
-  leader_finder finder(patience);
-  finder.learn("a", start);
+TEST(leader_finder_test, a_leader_named_after_a_long_outage_is_used) {
+  leader_finder finder(timeout);
+  finder.set_leader("a", start);
   const monotonic_time later = start + milliseconds(60'000);
   EXPECT_EQ(finder.leader(later), "");
-  EXPECT_TRUE(finder.learn("b", later));
+  EXPECT_TRUE(finder.set_leader("b", later));
   EXPECT_EQ(finder.leader(later + milliseconds(500)), "b");
 }
 
-TEST(leader_finder_test, a_leader_that_confirms_nothing_is_given_up) {
-  leader_finder finder(patience);
-  finder.learn("a", start);
-  EXPECT_FALSE(finder.learn("a", start + milliseconds(1000)));
-  EXPECT_EQ(finder.leader(start + patience), "a");
-  EXPECT_EQ(finder.leader(start + patience + milliseconds(1)), "");
+TEST(leader_finder_test, an_unconfirmed_leader_expires) {
+  leader_finder finder(timeout);
+  finder.set_leader("a", start);
+  EXPECT_FALSE(finder.set_leader("a", start + milliseconds(1000)));
+  EXPECT_EQ(finder.leader(start + timeout), "a");
+  EXPECT_EQ(finder.leader(start + timeout + milliseconds(1)), "");
 }
 
-TEST(leader_finder_test, a_confirming_leader_is_kept) {
-  leader_finder finder(patience);
-  finder.learn("a", start);
+TEST(leader_finder_test, a_confirmed_leader_is_kept) {
+  leader_finder finder(timeout);
+  finder.set_leader("a", start);
   finder.confirmed(start + milliseconds(1000));
   EXPECT_EQ(finder.leader(start + milliseconds(2500)), "a");
 }
 
-TEST(leader_finder_test, without_a_leader_all_are_asked_in_turn) {
-  leader_finder finder(patience);
+TEST(leader_finder_test, without_a_leader_control_nodes_are_selected_in_turn) {
+  leader_finder finder(timeout);
   const std::vector<std::string> all{"x", "y"};
-  EXPECT_EQ(finder.next_of(all), "x");
-  EXPECT_EQ(finder.next_of(all), "y");
-  EXPECT_EQ(finder.next_of(all), "x");
-  EXPECT_EQ(finder.next_of({}), "");
+  EXPECT_EQ(finder.select_next(all), "x");
+  EXPECT_EQ(finder.select_next(all), "y");
+  EXPECT_EQ(finder.select_next(all), "x");
+  EXPECT_EQ(finder.select_next({}), "");
 }
 
 }  // namespace
--- a/node/test/settings-test.cc
+++ b/node/test/settings-test.cc
@@ -5,7 +5,7 @@
 namespace trestlepost::node {
 namespace {
 
-std::string sound_settings() {
+std::string valid_settings() {
   return R"({
   "node": "etna-1",
   "region": "isola",
@@ -30,8 +30,8 @@
   return text.replace(at, from.size(), to);
 }
 
-TEST(settings_test, reads_a_sound_file) {
-  const result<settings> it = parse_settings(sound_settings(), "node.jsonc");
+TEST(settings_test, reads_a_valid_file) {
+  const result<settings> it = parse_settings(valid_settings(), "node.jsonc");
   ASSERT_TRUE(it) << it.error().message;
   EXPECT_TRUE(it->control);
   EXPECT_EQ(it->state.config_lease, std::chrono::milliseconds(4000));
@@ -44,7 +44,7 @@
   const char* remedy;
 };
 
-TEST(settings_test, names_place_and_remedy_of_each_mistake) {
+TEST(settings_test, errors_name_position_and_remedy) {
   const bad_settings_case cases[] = {
       {"\"region\"", "\"regoin\"", "node.jsonc:3: regoin",
        "did you mean \"region\"?"},
@@ -57,7 +57,7 @@
   };
   for (const bad_settings_case& it : cases) {
     const result<settings> read = parse_settings(
-        replaced(sound_settings(), it.from, it.to), "node.jsonc");
+        replaced(valid_settings(), it.from, it.to), "node.jsonc");
     ASSERT_FALSE(read) << it.from;
     const std::string& message = read.error().message;
     EXPECT_NE(message.find(it.place), std::string::npos) << message;
@@ -65,8 +65,8 @@
   }
 }
 
-TEST(settings_test, shows_all_mistakes_at_once) {
-  std::string text = replaced(sound_settings(), "4 s", "4");
+TEST(settings_test, reports_all_errors_at_once) {
+  std::string text = replaced(valid_settings(), "4 s", "4");
   text = replaced(text, "\"isola\"", "7");
   const result<settings> read = parse_settings(text, "node.jsonc");
   ASSERT_FALSE(read);
--- a/node/test/settings_page-test.cc
+++ b/node/test/settings_page-test.cc
@@ -28,7 +28,7 @@
   return out;
 }
 
-TEST(settings_page_test, names_every_key_that_the_code_reads) {
+TEST(settings_page_test, documents_every_key) {
   const std::string page =
       read_file(std::string(TRESTLEPOST_SOURCE) + "/docs/SETTINGS.md");
   const std::string code =
@@ -43,7 +43,7 @@
   }
 }
 
-TEST(settings_page_test, names_no_key_that_the_code_does_not_know) {
+TEST(settings_page_test, documents_no_unknown_key) {
   const std::string page =
       read_file(std::string(TRESTLEPOST_SOURCE) + "/docs/SETTINGS.md");
   const std::set<std::string> named =
--- a/node/test/settings_watch-test.cc
+++ b/node/test/settings_watch-test.cc
@@ -26,7 +26,7 @@
   monotonic_time now_{std::chrono::hours(1)};
 };
 
-TEST_F(settings_watch_test, a_file_written_without_a_signal_is_noticed) {
+TEST_F(settings_watch_test, a_write_without_a_signal_is_detected) {
   settings_watch watch(file_);
   watch.start();
   EXPECT_FALSE(watch.changed(now_, false));
@@ -36,7 +36,7 @@
   EXPECT_FALSE(watch.changed(now_ + std::chrono::milliseconds(2000), false));
 }
 
-TEST_F(settings_watch_test, a_signal_has_it_read_at_once) {
+TEST_F(settings_watch_test, a_signal_triggers_an_immediate_check) {
   settings_watch watch(file_);
   watch.start();
   EXPECT_FALSE(watch.changed(now_, true)) << "nothing was written";
@@ -44,7 +44,7 @@
   EXPECT_TRUE(watch.changed(now_, true));
 }
 
-TEST_F(settings_watch_test, an_empty_or_missing_file_changes_nothing) {
+TEST_F(settings_watch_test, an_empty_or_missing_file_is_ignored) {
   settings_watch watch(file_);
   watch.start();
   write("");
