--- a/node/src/watch_client.h
+++ b/node/src/watch_client.h
@@ -40,7 +40,7 @@
     monotonic_time asked_at;
   };
 
-  poll_situation situation() const;
+  poll_state situation() const;
   void poll(const std::string& address);
   /// Adds this node's identity to a poll: the full heartbeat if the receiver
   /// doesn't have this node's current state, else only the fields that show
