--- a/config/src/content_delivery.cc
+++ b/config/src/delivery_tracker.cc
@@ -1,4 +1,4 @@
-#include "trestlepost/config/content_delivery.h"
+#include "trestlepost/config/delivery_tracker.h"
 
 #include <algorithm>
 
--- a/config/test/content_delivery-test.cc
+++ b/config/test/delivery_tracker-test.cc
@@ -1,5 +1,5 @@
 // Tests which changes a watcher is sent, and when they are sent again.
-#include "trestlepost/config/content_delivery.h"
+#include "trestlepost/config/delivery_tracker.h"
 
 #include <gtest/gtest.h>
 
--- a/node/src/config_watchers.h
+++ b/node/src/config_watchers.h
@@ -11,9 +11,9 @@
 
 #include "node_context.h"
 #include "trestlepost/config/confirmation_tracker.h"
-#include "trestlepost/config/content_delivery.h"
+#include "trestlepost/config/delivery_tracker.h"
 #include "trestlepost/config/state_machine.h"
-#include "watcher_ways.h"
+#include "watcher_paths.h"
 
 namespace trestlepost::node {
 
--- a/node/src/watcher_ways.cc
+++ b/node/src/watcher_paths.cc
@@ -1,4 +1,4 @@
-#include "watcher_ways.h"
+#include "watcher_paths.h"
 
 #include <chrono>
 
--- a/node/test/watcher_ways-test.cc
+++ b/node/test/watcher_paths-test.cc
@@ -7,7 +7,7 @@
 // only through a relaying node, over a stalled connection too, and counted as
 // in flight for 4 s. The reopened direct connection would have worked, so after
 // a loss all paths have to be used.
-#include "watcher_ways.h"
+#include "watcher_paths.h"
 
 #include <gtest/gtest.h>
 
