--- a/config/include/trestlepost/config/change.h
+++ b/config/include/trestlepost/config/change.h
@@ -95,6 +95,6 @@
 /// change with the same id. Base revisions of edits are not part of it, because
 /// a node may have filled them in; a plan is identified by the document that
 /// the operator sent.
-std::string request_digest(const change& value);
+std::string change_digest(const change& value);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/confirmation_tracker.h
+++ b/config/include/trestlepost/config/confirmation_tracker.h
@@ -14,7 +14,7 @@
 /// last of them reported it.
 struct confirmed_revision {
   revision_number revision = 0;
-  std::chrono::milliseconds taken{0};
+  std::chrono::milliseconds latency{0};
 };
 
 /// Tracks revisions from their decision on the leader until all watchers have
@@ -23,11 +23,11 @@
  public:
   /// Records that all revisions up to `revision` are decided. A repeated call
   /// keeps the first time.
-  void decided(revision_number revision, monotonic_time now);
-  /// Records that all watchers have `held`. Returns the revisions that this
+  void record_decision(revision_number revision, monotonic_time now);
+  /// Records that all watchers have `revision`. Returns the revisions that this
   /// confirms, each of them once.
-  std::vector<confirmed_revision> confirmed(revision_number held,
-                                            monotonic_time now);
+  std::vector<confirmed_revision> confirm(revision_number revision,
+                                          monotonic_time now);
   void clear() { waiting_.clear(); }
 
  private:
--- a/config/include/trestlepost/config/hold_tracker.h
+++ b/config/include/trestlepost/config/hold_tracker.h
@@ -24,7 +24,7 @@
 
  private:
   std::set<std::string> held_;
-  revision_number noted_revision_ = 0;
+  revision_number last_revision_ = 0;
 };
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/state_machine.h
+++ b/config/include/trestlepost/config/state_machine.h
@@ -24,7 +24,7 @@
   std::size_t audit_records = 5'000;
   std::size_t history = 500;
   /// Total number of objects and routes in the changes of the history.
-  std::size_t history_edits = 2'000;
+  std::size_t history_items = 2'000;
   /// Fault injection for tests: applies a change again when it is resent.
   bool forget_change_ids = false;
 };
@@ -44,7 +44,7 @@
   std::optional<change_result> result_of(const std::string& change_id) const;
   /// The result of the first submission of this change, a mismatch if its id
   /// was used for another change, or nullopt if the id is new.
-  std::optional<change_result> known_result(const change& asked) const;
+  std::optional<change_result> first_result(const change& requested) const;
   const std::deque<audit_record>& audit() const { return audit_; }
   const std::map<std::string, ledger_founding>& ledgers() const {
     return ledgers_;
@@ -54,41 +54,44 @@
   /// changes name more routes than the plan has.
   watch_update update_since(revision_number from) const;
 
-  /// Called with the audit record of each accepted or rejected change.
+  /// Called with the audit record of each accepted or rejected
+  /// change.
   std::function<void(const audit_record&)> on_decided;
 
  private:
-  struct known_change {
+  struct decided_change {
     std::string digest;
     change_result outcome;
   };
 
-  change_result decide(const change& asked, json& touched);
-  change_result decide_founding(const change& asked);
-  change_result decide_plan(const change& asked, json& touched);
-  change_result decide_edited_plan(const change& asked, json& touched);
+  // These decide one kind of change each, apply it if it is accepted, and
+  // append what it changes to `changed` for the audit trail.
+  change_result decide(const change& requested, json& changed);
+  change_result decide_founding(const change& requested);
+  change_result decide_plan(const change& requested, json& changed);
+  change_result decide_edited_plan(const change& requested, json& changed);
   /// The number of the plan in force; 0 if there is none.
-  plan_number held_number() const;
-  change_result plan_stays() const;
+  plan_number number_in_force() const;
+  change_result plan_unchanged() const;
   /// Puts `next` in force; `delta` is its difference from the current plan.
-  change_result take_plan(const change& asked, plan_ptr next, plan_delta delta,
-                          json& touched);
-  change_result decide_evacuation(const change& asked, json& touched);
-  change_result decide_hold(const change& asked, json& touched);
-  void add_to_history(applied_change accepted);
-  std::optional<change_result> find_conflict(const change& asked) const;
+  change_result install_plan(const change& requested, plan_ptr next,
+                             plan_delta delta, json& changed);
+  change_result decide_evacuation(const change& requested, json& changed);
+  change_result decide_hold(const change& requested, json& changed);
+  void apply_accepted(applied_change accepted);
+  std::optional<change_result> find_conflict(const change& requested) const;
   std::string last_writer_of(const edit& one) const;
-  change_result accept(const change& asked, json& touched);
+  change_result apply_edits(const change& requested, json& changed);
   void trim_history();
   void roll_back(const std::vector<edit>& previous);
-  void remember(const change& asked, const change_result& outcome);
-  void record(const change& asked, const change_result& outcome,
-              const json& touched);
+  void remember_result(const change& requested, const change_result& outcome);
+  void add_audit_record(const change& requested, const change_result& outcome,
+                        const json& changed);
 
   state_limits limits_;
   object_store store_;
-  std::unordered_map<std::string, known_change> known_;
-  std::deque<std::string> known_order_;
+  std::unordered_map<std::string, decided_change> results_by_id_;
+  std::deque<std::string> result_order_;
   std::deque<audit_record> audit_;
   std::deque<applied_change> history_;
   std::map<std::string, ledger_founding> ledgers_;
--- a/config/include/trestlepost/config/store.h
+++ b/config/include/trestlepost/config/store.h
@@ -45,7 +45,7 @@
 
 /// A specification that a change has replaced. Kept for the longest key window,
 /// so that the earlier home region of a request can still be determined.
-struct former_spec {
+struct replaced_spec {
   object_kind kind = object_kind::region;
   std::string name;
   std::string text;  // JSON; empty if the object didn't exist
@@ -81,7 +81,7 @@
 request_hold request_hold_from(const json& value);
 
 /// Maximum number of held requests. If it is exceeded, the oldest is released.
-inline constexpr std::size_t most_held_requests = 4096;
+inline constexpr std::size_t max_held_requests = 4096;
 
 template <typename T>
 using object_map = std::map<std::string, std::shared_ptr<const T>, std::less<>>;
@@ -96,11 +96,13 @@
   const object_map<endpoint>& endpoints() const { return endpoints_; }
   const object_map<placement_rule>& rules() const { return rules_; }
   const object_map<caller>& callers() const { return callers_; }
-  const std::deque<former_spec>& former() const { return former_; }
+  const std::deque<replaced_spec>& replaced_specs() const {
+    return replaced_specs_;
+  }
 
   std::shared_ptr<const service> find_service(std::string_view name) const;
   std::shared_ptr<const caller> find_caller(std::string_view name) const;
-  std::shared_ptr<const caller> caller_with_token(
+  std::shared_ptr<const caller> find_caller_by_token(
       const std::string& sha256) const;
 
   /// The specification of an object, or null if it doesn't exist.
@@ -115,7 +117,7 @@
 
   /// Keeps the specification that `change` replaces, and drops those that are
   /// older than the longest key window. Call it before `put`.
-  void remember_former(const edit& change, wall_time at);
+  void record_replaced(const edit& change, wall_time at);
 
   /// Adds references to missing objects and rules that permit no region.
   void check(problem_list& problems) const;
@@ -134,8 +136,8 @@
   /// For each availability zone, the revision at which its last evacuation
   /// ended. It lets a watcher that missed both the start and the end of an
   /// evacuation detect that there was one.
-  const std::map<std::string, revision_number>& given_back() const {
-    return given_back_;
+  const std::map<std::string, revision_number>& ended_evacuations() const {
+    return ended_evacuations_;
   }
 
   /// Held requests by fingerprint.
@@ -144,9 +146,9 @@
   }
   /// Applies the change at `revision`, made at `at`, which holds or releases a
   /// request.
-  void set_held(const request_hold& it, wall_time at, revision_number revision);
+  void set_hold(const request_hold& it, wall_time at, revision_number revision);
 
-  json to_json(plan_form form = plan_form::whole) const;
+  json to_json(plan_form form = plan_form::full) const;
   static result<object_store> from_json(const json& value);
 
  private:
@@ -161,11 +163,11 @@
   object_map<placement_rule> rules_;
   object_map<caller> callers_;
   std::unordered_map<std::string, std::string> caller_by_token_;
-  std::deque<former_spec> former_;
+  std::deque<replaced_spec> replaced_specs_;
   plan_ptr plan_;
   std::set<std::string> evacuated_;
-  std::map<std::string, revision_number> given_back_;  // by zone
-  std::map<std::string, held_request> held_requests_;  // by fingerprint
+  std::map<std::string, revision_number> ended_evacuations_;  // by zone
+  std::map<std::string, held_request> held_requests_;         // by fingerprint
 };
 
 /// The names of the regions whose labels match, sorted.
--- a/config/include/trestlepost/config/traffic_plan.h
+++ b/config/include/trestlepost/config/traffic_plan.h
@@ -123,7 +123,7 @@
 using plan_ptr = std::shared_ptr<const traffic_plan>;
 
 /// Whether the JSON form includes `document`.
-enum class plan_form { whole, without_document };
+enum class plan_form { full, without_document };
 
 json to_json(const route& value);
 route route_from(const json& value);
@@ -138,6 +138,6 @@
 /// Validates a plan and returns the first error: an unnamed, duplicate or
 /// unknown service, two routes with the same host and path prefix, weights that
 /// sum to 0, a timeout of 0, a missing host, or a malformed path prefix.
-result<void> check_plan(const traffic_plan& value);
+result<void> validate_plan(const traffic_plan& value);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/watch_update.h
+++ b/config/include/trestlepost/config/watch_update.h
@@ -43,8 +43,8 @@
 bool has_content(const json& update);
 
 /// Applies one change to `store`, which must be at the previous revision.
-void apply_to(object_store& store, const applied_change& it,
-              problem_list& problems);
+void apply_change(object_store& store, const applied_change& it,
+                  problem_list& problems);
 
 /// Applies `update` to `store`. Changes that `store` already has are skipped.
 /// Fails with `configuration_behind` if revisions are missing in between.
--- a/config/src/change.cc
+++ b/config/src/change.cc
@@ -23,7 +23,7 @@
 
 // Maximum size of an unpacked change; equals the maximum message size between
 // control nodes.
-constexpr std::size_t most_command_bytes = 64UL * 1024 * 1024;
+constexpr std::size_t max_command_bytes = 64UL * 1024 * 1024;
 
 json ms_of(wall_time at) {
   return json(Json::Int64(to_unix_ms(at)));
@@ -83,7 +83,7 @@
     out["if_revision"] = json(Json::UInt64(*value.if_revision));
   }
   if (value.founding) out["founding"] = to_json(*value.founding);
-  if (value.plan) out["plan"] = to_json(*value.plan, plan_form::whole);
+  if (value.plan) out["plan"] = to_json(*value.plan, plan_form::full);
   if (value.edited_plan) out["plan_edit"] = to_json(*value.edited_plan);
   if (value.evacuation) out["evacuation"] = to_json(*value.evacuation);
   if (value.hold) out["hold"] = to_json(*value.hold);
@@ -133,7 +133,7 @@
 
 result<change> decode_change(std::string_view command) {
   const std::optional<std::string> text =
-      unpack_printable(command, most_command_bytes);
+      unpack_printable(command, max_command_bytes);
   if (!text) {
     return fail(error_kind::corrupt,
                 "a change in the log cannot be decompressed",
@@ -194,29 +194,29 @@
   return out;
 }
 
-std::string request_digest(const change& value) {
-  json asked;
+std::string change_digest(const change& value) {
+  json content;
   json edits(Json::arrayValue);
   for (const edit& it : value.edits) {
     edits.append(to_json(edit{it.kind, it.name, it.spec, std::nullopt}));
   }
-  asked["edits"] = std::move(edits);
-  if (value.founding) asked["founding"] = to_json(*value.founding);
+  content["edits"] = std::move(edits);
+  if (value.founding) content["founding"] = to_json(*value.founding);
   if (value.plan) {
     // The document identifies the plan. Serializing the routes as well costs
     // 32 ms of CPU time for 4,000 routes.
-    const bool sent = !value.plan->document.empty();
-    if (sent) asked["document"] = sha256_hex(value.plan->document);
-    if (!sent) asked["plan"] = to_json(*value.plan, plan_form::whole);
+    const bool has_document = !value.plan->document.empty();
+    if (has_document) content["document"] = sha256_hex(value.plan->document);
+    if (!has_document) content["plan"] = to_json(*value.plan, plan_form::full);
   }
   if (value.edited_plan) {
-    asked["base"] = as_number(value.edited_plan->base);
-    asked["number"] = as_number(value.edited_plan->delta.number);
-    asked["document"] = sha256_hex(value.edited_plan->document);
+    content["base"] = as_number(value.edited_plan->base);
+    content["number"] = as_number(value.edited_plan->delta.number);
+    content["document"] = sha256_hex(value.edited_plan->document);
   }
-  if (value.evacuation) asked["evacuation"] = to_json(*value.evacuation);
-  if (value.hold) asked["hold"] = to_json(*value.hold);
-  return sha256_hex(to_text(asked));
+  if (value.evacuation) content["evacuation"] = to_json(*value.evacuation);
+  if (value.hold) content["hold"] = to_json(*value.hold);
+  return sha256_hex(to_text(content));
 }
 
 }  // namespace trestlepost::config
--- a/config/src/delivery_tracker.cc
+++ b/config/src/delivery_tracker.cc
@@ -8,43 +8,45 @@
 // Upper limit of the doubled timeouts: long enough that a slow link does not
 // queue dozens of copies of one change, short enough that a watcher that
 // reconnects is updated soon.
-constexpr std::chrono::milliseconds most_patience{16'000};
+constexpr std::chrono::milliseconds max_timeout{16'000};
 
 }  // namespace
 
-void content_delivery::holds(revision_number revision, monotonic_time now) {
-  if (revision < held_) missed();
-  if (revision > held_) {
-    waiting_since_ = now;
-    patience_ = first_patience;
+void delivery_tracker::acknowledge(revision_number revision,
+                                   monotonic_time now) {
+  if (revision < acknowledged_) discard_sent();
+  if (revision > acknowledged_) {
+    timeout_start_ = now;
+    timeout_ = initial_timeout;
   }
-  held_ = revision;
+  acknowledged_ = revision;
 }
 
-void content_delivery::missed() {
+void delivery_tracker::discard_sent() {
   sent_ = 0;
 }
 
-bool content_delivery::under_way(monotonic_time now) const {
-  return sent_ > held_ && now < waiting_since_ + patience_;
+bool delivery_tracker::in_flight(monotonic_time now) const {
+  return sent_ > acknowledged_ && now < timeout_start_ + timeout_;
 }
 
-std::optional<revision_number> content_delivery::due(revision_number newest,
-                                                     monotonic_time now) const {
-  const revision_number from = under_way(now) ? sent_ : held_;
+std::optional<revision_number> delivery_tracker::pending_from(
+    revision_number newest, monotonic_time now) const {
+  const revision_number from = in_flight(now) ? sent_ : acknowledged_;
   if (from >= newest) return std::nullopt;
   return from;
 }
 
-bool content_delivery::is_repeat(monotonic_time now) const {
-  return sent_ > held_ && !under_way(now);
+bool delivery_tracker::is_retransmission(monotonic_time now) const {
+  return sent_ > acknowledged_ && !in_flight(now);
 }
 
-void content_delivery::sent(revision_number revision, monotonic_time now) {
-  const bool again = sent_ > held_;
-  if (!under_way(now)) {
-    waiting_since_ = now;
-    if (again) patience_ = std::min(2 * patience_, most_patience);
+void delivery_tracker::record_sent(revision_number revision,
+                                   monotonic_time now) {
+  const bool retransmitted = sent_ > acknowledged_;
+  if (!in_flight(now)) {
+    timeout_start_ = now;
+    if (retransmitted) timeout_ = std::min(2 * timeout_, max_timeout);
   }
   sent_ = std::max(sent_, revision);
 }
--- a/config/src/hold_tracker.cc
+++ b/config/src/hold_tracker.cc
@@ -6,8 +6,8 @@
 
 hold_changes hold_tracker::update(const object_store& store) {
   hold_changes out;
-  if (store.revision() == noted_revision_) return out;
-  noted_revision_ = store.revision();
+  if (store.revision() == last_revision_) return out;
+  last_revision_ = store.revision();
   std::set<std::string> now;
   for (const auto& [fingerprint, it] : store.held_requests()) {
     now.insert(fingerprint);
--- a/config/src/objects.cc
+++ b/config/src/objects.cc
@@ -14,7 +14,7 @@
   std::string_view list;
 };
 
-constexpr std::array<kind_names, 5> names{{
+constexpr std::array<kind_names, 5> kind_table{{
     {object_kind::region, "region", "regions"},
     {object_kind::service, "service", "services"},
     {object_kind::endpoint, "endpoint", "endpoints"},
@@ -22,18 +22,18 @@
     {object_kind::caller, "caller", "callers"},
 }};
 
-constexpr std::uint64_t most_slots = 100'000;
-constexpr std::uint64_t most_share = 1000;
-constexpr std::uint64_t largest_port = 65535;
+constexpr std::uint64_t max_slots = 100'000;
+constexpr std::uint64_t max_share = 1000;
+constexpr std::uint64_t max_port = 65535;
 constexpr std::size_t sha256_hex_size = 64;
 
 /// Reads the fields that all objects have, and adds the label
-/// `own_label`=NAME.
+/// `name_label`=NAME.
 std::string read_common(object_reader& reader, label_map& labels,
-                        const char* own_label) {
+                        const char* name_label) {
   std::string name = reader.text("name");
   labels = reader.text_map_or_empty("labels");
-  labels[own_label] = name;
+  labels[name_label] = name;
   return name;
 }
 
@@ -47,21 +47,21 @@
 }  // namespace
 
 std::string_view to_string(object_kind kind) {
-  for (const kind_names& it : names) {
+  for (const kind_names& it : kind_table) {
     if (it.kind == kind) return it.name;
   }
   return "";
 }
 
 std::string_view list_name(object_kind kind) {
-  for (const kind_names& it : names) {
+  for (const kind_names& it : kind_table) {
     if (it.kind == kind) return it.list;
   }
   return "";
 }
 
 result<object_kind> object_kind_from(std::string_view name) {
-  for (const kind_names& it : names) {
+  for (const kind_names& it : kind_table) {
     if (it.name == name || it.list == name) return it.kind;
   }
   return fail(error_kind::bad_input,
@@ -73,14 +73,14 @@
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return false;
   const std::string_view port = text.substr(colon + 1);
-  constexpr std::size_t longest_port = 5;
-  if (port.empty() || port.size() > longest_port) return false;
+  constexpr std::size_t max_port_digits = 5;
+  if (port.empty() || port.size() > max_port_digits) return false;
   std::uint64_t n = 0;
   for (const char c : port) {
     if (std::isdigit(static_cast<unsigned char>(c)) == 0) return false;
     n = n * 10 + static_cast<std::uint64_t>(c - '0');
   }
-  return n > 0 && n <= largest_port;
+  return n > 0 && n <= max_port;
 }
 
 region read_region(const json& spec, problem_list& problems) {
@@ -119,8 +119,8 @@
                  "\"" + out.address + "\" is not an address",
                  "write IP:PORT, for example \"127.0.1.1:8000\"");
   }
-  out.slots = static_cast<unsigned>(
-      reader.number_or("slots", out.slots, 1, most_slots));
+  out.slots =
+      static_cast<unsigned>(reader.number_or("slots", out.slots, 1, max_slots));
   out.drained = reader.flag_or("drained", out.drained);
   reader.finish();
   return out;
@@ -130,14 +130,14 @@
   object_reader reader(spec, "placement_rule", problems);
   placement_rule out;
   out.name = read_common(reader, out.labels, "placement_rule");
-  const auto part = [&reader, &problems](const char* key) {
+  const auto read_part = [&reader, &problems](const char* key) {
     return read_selector(reader.raw(key), reader.path_of(key), problems);
   };
-  out.callers = part("callers");
-  out.services = part("services");
-  out.requests = part("requests");
-  out.permit = part("permit");
-  out.home = part("home");
+  out.callers = read_part("callers");
+  out.services = read_part("services");
+  out.requests = read_part("requests");
+  out.permit = read_part("permit");
+  out.home = read_part("home");
   out.away_penalty = reader.duration_or("away_penalty", out.away_penalty);
   const std::string transit =
       reader.choice_or_first("transit", {"allow", "refuse"});
@@ -166,8 +166,7 @@
       }
     }
   }
-  out.share =
-      static_cast<unsigned>(reader.number_or("share", 1, 1, most_share));
+  out.share = static_cast<unsigned>(reader.number_or("share", 1, 1, max_share));
   reader.finish();
   return out;
 }
--- a/config/src/plan_edit.cc
+++ b/config/src/plan_edit.cc
@@ -10,7 +10,7 @@
 
 // Maximum size of a plan document; equals the maximum message size between
 // control nodes.
-constexpr std::size_t most_document_bytes = 64UL * 1024 * 1024;
+constexpr std::size_t max_document_bytes = 64UL * 1024 * 1024;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   const traffic_plan& old = before == nullptr ? none : *before;
   plan_edit out;
   out.base = old.number;
-  out.delta = delta_between(before, after);
+  out.delta = make_plan_delta(before, after);
   out.document = pack_printable(make_text_delta(old.document, after.document));
   return out;
 }
@@ -30,10 +30,10 @@
   const traffic_plan none;
   const traffic_plan& old = before == nullptr ? none : *before;
   const std::optional<std::string> delta =
-      unpack_printable(edit.document, most_document_bytes);
+      unpack_printable(edit.document, max_document_bytes);
   std::optional<std::string> document;
   if (delta) {
-    document = apply_text_delta(old.document, *delta, most_document_bytes);
+    document = apply_text_delta(old.document, *delta, max_document_bytes);
   }
   if (!document) {
     return fail(error_kind::corrupt,
@@ -42,7 +42,7 @@
                     std::to_string(edit.base),
                 "run one version of trestlepostd on all nodes");
   }
-  traffic_plan out = apply_delta(before, edit.delta);
+  traffic_plan out = apply_plan_delta(before, edit.delta);
   out.document = std::move(*document);
   return out;
 }
--- a/config/src/state_machine.cc
+++ b/config/src/state_machine.cc
@@ -12,10 +12,10 @@
 // Maximum size of an unpacked snapshot. The largest planned deployment has
 // about 100 MB of state; the limit keeps a corrupt length field from exhausting
 // the memory.
-constexpr std::size_t most_snapshot_bytes = 1024UL * 1024 * 1024;
+constexpr std::size_t max_snapshot_bytes = 1024UL * 1024 * 1024;
 
-change_result refusal(change_status status, revision_number revision,
-                      std::string message, std::string remedy) {
+change_result rejected(change_status status, revision_number revision,
+                       std::string message, std::string remedy) {
   return {status, revision, std::move(message), std::move(remedy), {}};
 }
 
@@ -25,117 +25,121 @@
     : limits_(limits) {}
 
 void config_state_machine::apply(const consensus::entry& committed) {
-  const result<change> asked = decode_change(committed.data);
-  if (!asked) {
+  const result<change> requested = decode_change(committed.data);
+  if (!requested) {
     log_event(log_level::error, "change-unreadable",
-              {{"detail", asked.error().message}});
+              {{"detail", requested.error().message}});
     return;
   }
-  const auto known = known_.find(asked->id);
-  if (known != known_.end() && !limits_.forget_change_ids) {
-    const change_result first = *known_result(*asked);
+  const auto known = results_by_id_.find(requested->id);
+  if (known != results_by_id_.end() && !limits_.forget_change_ids) {
+    const change_result first = *first_result(*requested);
     if (first.status == change_status::mismatch) {
-      record(*asked, first, json(Json::arrayValue));
+      add_audit_record(*requested, first, json(Json::arrayValue));
     }
     return;
   }
-  json touched(Json::arrayValue);
-  const change_result outcome = decide(*asked, touched);
-  remember(*asked, outcome);
-  record(*asked, outcome, touched);
+  json changed(Json::arrayValue);
+  const change_result outcome = decide(*requested, changed);
+  remember_result(*requested, outcome);
+  add_audit_record(*requested, outcome, changed);
 }
 
-change_result config_state_machine::decide(const change& asked, json& touched) {
-  if (asked.founding) return decide_founding(asked);
-  if (asked.plan) return decide_plan(asked, touched);
-  if (asked.edited_plan) return decide_edited_plan(asked, touched);
-  if (asked.evacuation) return decide_evacuation(asked, touched);
-  if (asked.hold) return decide_hold(asked, touched);
-  std::optional<change_result> conflict = find_conflict(asked);
+change_result config_state_machine::decide(const change& requested,
+                                           json& changed) {
+  if (requested.founding) return decide_founding(requested);
+  if (requested.plan) return decide_plan(requested, changed);
+  if (requested.edited_plan) return decide_edited_plan(requested, changed);
+  if (requested.evacuation) return decide_evacuation(requested, changed);
+  if (requested.hold) return decide_hold(requested, changed);
+  std::optional<change_result> conflict = find_conflict(requested);
   if (conflict) return std::move(*conflict);
-  if (asked.edits.empty()) {
-    return refusal(change_status::invalid, store_.revision(),
-                   "the change edits nothing", "write at least one object");
+  if (requested.edits.empty()) {
+    return rejected(change_status::invalid, store_.revision(),
+                    "the change edits nothing", "write at least one object");
   }
-  return accept(asked, touched);
+  return apply_edits(requested, changed);
 }
 
-change_result config_state_machine::decide_founding(const change& asked) {
+change_result config_state_machine::decide_founding(const change& requested) {
   const bool added =
-      ledgers_.emplace(asked.founding->region, *asked.founding).second;
+      ledgers_.emplace(requested.founding->region, *requested.founding).second;
   if (added) {
     return {change_status::accepted,
             store_.revision(),
-            "the ledger of " + asked.founding->region + " is founded",
+            "the ledger of " + requested.founding->region + " is founded",
             "",
             {}};
   }
-  return refusal(change_status::conflict, store_.revision(),
-                 "region " + asked.founding->region + " has a ledger already",
-                 "use the one that exists");
+  return rejected(
+      change_status::conflict, store_.revision(),
+      "region " + requested.founding->region + " has a ledger already",
+      "use the one that exists");
 }
 
-change_result config_state_machine::decide_plan(const change& asked,
-                                                json& touched) {
-  const result<void> sound = check_plan(*asked.plan);
-  if (!sound) {
-    return refusal(change_status::invalid, store_.revision(),
-                   sound.error().message, sound.error().remedy);
+change_result config_state_machine::decide_plan(const change& requested,
+                                                json& changed) {
+  const result<void> valid = validate_plan(*requested.plan);
+  if (!valid) {
+    return rejected(change_status::invalid, store_.revision(),
+                    valid.error().message, valid.error().remedy);
   }
-  if (asked.plan->number <= held_number()) return plan_stays();
-  return take_plan(asked, asked.plan,
-                   delta_between(store_.plan().get(), *asked.plan), touched);
+  if (requested.plan->number <= number_in_force()) return plan_unchanged();
+  return install_plan(requested, requested.plan,
+                      make_plan_delta(store_.plan().get(), *requested.plan),
+                      changed);
 }
 
-change_result config_state_machine::decide_edited_plan(const change& asked,
-                                                       json& touched) {
-  const plan_edit& edit = *asked.edited_plan;
-  if (edit.delta.number <= held_number()) return plan_stays();
-  if (edit.base != held_number()) {
-    return refusal(change_status::conflict, store_.revision(),
-                   "plan " + std::to_string(held_number()) +
-                       " is in force, not plan " + std::to_string(edit.base) +
-                       ", on which plan " + std::to_string(edit.delta.number) +
-                       " is based",
-                   "recreate the change from the plan in force");
+change_result config_state_machine::decide_edited_plan(const change& requested,
+                                                       json& changed) {
+  const plan_edit& edit = *requested.edited_plan;
+  if (edit.delta.number <= number_in_force()) return plan_unchanged();
+  if (edit.base != number_in_force()) {
+    return rejected(change_status::conflict, store_.revision(),
+                    "plan " + std::to_string(number_in_force()) +
+                        " is in force, not plan " + std::to_string(edit.base) +
+                        ", on which plan " + std::to_string(edit.delta.number) +
+                        " is based",
+                    "recreate the change from the plan in force");
   }
   result<traffic_plan> next = apply_plan_edit(store_.plan().get(), edit);
-  const result<void> sound =
-      next ? check_plan(*next) : tl::make_unexpected(next.error());
-  if (!sound) {
-    return refusal(change_status::invalid, store_.revision(),
-                   sound.error().message, sound.error().remedy);
+  const result<void> valid =
+      next ? validate_plan(*next) : tl::make_unexpected(next.error());
+  if (!valid) {
+    return rejected(change_status::invalid, store_.revision(),
+                    valid.error().message, valid.error().remedy);
   }
-  return take_plan(asked,
-                   std::make_shared<const traffic_plan>(std::move(*next)),
-                   edit.delta, touched);
+  return install_plan(requested,
+                      std::make_shared<const traffic_plan>(std::move(*next)),
+                      edit.delta, changed);
 }
 
-plan_number config_state_machine::held_number() const {
+plan_number config_state_machine::number_in_force() const {
   return store_.plan() ? store_.plan()->number : 0;
 }
 
-change_result config_state_machine::plan_stays() const {
-  return {
-      change_status::accepted,
-      store_.revision(),
-      "plan " + std::to_string(held_number()) + " is in force; nothing changed",
-      "",
-      {}};
+change_result config_state_machine::plan_unchanged() const {
+  return {change_status::accepted,
+          store_.revision(),
+          "plan " + std::to_string(number_in_force()) +
+              " is in force; nothing changed",
+          "",
+          {}};
 }
 
-change_result config_state_machine::take_plan(const change& asked,
-                                              plan_ptr next, plan_delta delta,
-                                              json& touched) {
+change_result config_state_machine::install_plan(const change& requested,
+                                                 plan_ptr next,
+                                                 plan_delta delta,
+                                                 json& changed) {
   const std::string number = std::to_string(next->number);
   json one;
   one["kind"] = "traffic_plan";
   one["name"] = number;
-  touched.append(std::move(one));
+  changed.append(std::move(one));
   store_.set_plan(std::move(next));
   store_.set_revision(store_.revision() + 1);
   history_.push_back({store_.revision(),
-                      asked.at,
+                      requested.at,
                       {},
                       std::make_shared<const plan_delta>(std::move(delta)),
                       {},
@@ -148,10 +152,10 @@
           {}};
 }
 
-change_result config_state_machine::decide_evacuation(const change& asked,
-                                                      json& touched) {
-  const std::string& zone = asked.evacuation->availability_zone;
-  const bool evacuated = asked.evacuation->evacuated;
+change_result config_state_machine::decide_evacuation(const change& requested,
+                                                      json& changed) {
+  const std::string& zone = requested.evacuation->availability_zone;
+  const bool evacuated = requested.evacuation->evacuated;
   const std::string state = evacuated ? "evacuated" : "in service";
   if (store_.evacuated_zones().contains(zone) == evacuated) {
     return {change_status::accepted,
@@ -164,9 +168,13 @@
   one["kind"] = "availability_zone";
   one["name"] = zone;
   one["after"] = state;
-  touched.append(std::move(one));
-  add_to_history(
-      {store_.revision() + 1, asked.at, {}, nullptr, *asked.evacuation, {}});
+  changed.append(std::move(one));
+  apply_accepted({store_.revision() + 1,
+                  requested.at,
+                  {},
+                  nullptr,
+                  *requested.evacuation,
+                  {}});
   return {change_status::accepted,
           store_.revision(),
           "zone " + zone + " is " + state,
@@ -174,9 +182,9 @@
           {}};
 }
 
-change_result config_state_machine::decide_hold(const change& asked,
-                                                json& touched) {
-  const request_hold& hold = *asked.hold;
+change_result config_state_machine::decide_hold(const change& requested,
+                                                json& changed) {
+  const request_hold& hold = *requested.hold;
   const std::string state = hold.held ? "held" : "not held";
   if (store_.held_requests().contains(hold.fingerprint) == hold.held) {
     return {change_status::accepted,
@@ -189,8 +197,8 @@
   one["kind"] = "request";
   one["name"] = hold.fingerprint;
   one["after"] = config::to_json(hold);
-  touched.append(std::move(one));
-  add_to_history({store_.revision() + 1, asked.at, {}, nullptr, {}, hold});
+  changed.append(std::move(one));
+  apply_accepted({store_.revision() + 1, requested.at, {}, nullptr, {}, hold});
   return {change_status::accepted,
           store_.revision(),
           "request " + hold.fingerprint + " is " + state,
@@ -198,9 +206,9 @@
           {}};
 }
 
-void config_state_machine::add_to_history(applied_change accepted) {
+void config_state_machine::apply_accepted(applied_change accepted) {
   problem_list problems;
-  apply_to(store_, accepted, problems);
+  apply_change(store_, accepted, problems);
   history_.push_back(std::move(accepted));
   trim_history();
 }
@@ -220,42 +228,43 @@
 }
 
 std::optional<change_result> config_state_machine::find_conflict(
-    const change& asked) const {
+    const change& requested) const {
   const revision_number now = store_.revision();
-  if (asked.if_revision && *asked.if_revision != now) {
+  if (requested.if_revision && *requested.if_revision != now) {
     const std::string winner =
         audit_.empty() ? "" : " by " + audit_.back().operator_name;
-    return refusal(change_status::conflict, now,
-                   "the configuration is at revision " + std::to_string(now) +
-                       winner + ", not at " +
-                       std::to_string(*asked.if_revision),
-                   "read it again with `trestlepost get`, then apply with "
-                   "--if-revision " +
-                       std::to_string(now));
+    return rejected(change_status::conflict, now,
+                    "the configuration is at revision " + std::to_string(now) +
+                        winner + ", not at " +
+                        std::to_string(*requested.if_revision),
+                    "read it again with `trestlepost get`, then apply with "
+                    "--if-revision " +
+                        std::to_string(now));
   }
-  for (const edit& it : asked.edits) {
+  for (const edit& it : requested.edits) {
     if (!it.base) continue;
     const stored_spec* stored = store_.find_spec(it.kind, it.name);
     const revision_number current = stored == nullptr ? 0 : stored->revision;
     if (current == *it.base) continue;
     const std::string what = std::string(to_string(it.kind)) + " " + it.name;
-    return refusal(change_status::conflict, now,
-                   what + " was written by " + last_writer_of(it) +
-                       " at revision " + std::to_string(current) +
-                       ", after the revision " + std::to_string(*it.base) +
-                       " that this change was made from",
-                   "read it again with `trestlepost get " + what +
-                       "`, recreate the change, and apply it under a new "
-                       "--change-id");
+    return rejected(change_status::conflict, now,
+                    what + " was written by " + last_writer_of(it) +
+                        " at revision " + std::to_string(current) +
+                        ", after the revision " + std::to_string(*it.base) +
+                        " that this change was made from",
+                    "read it again with `trestlepost get " + what +
+                        "`, recreate the change, and apply it under a new "
+                        "--change-id");
   }
   return std::nullopt;
 }
 
-change_result config_state_machine::accept(const change& asked, json& touched) {
+change_result config_state_machine::apply_edits(const change& requested,
+                                                json& changed) {
   const revision_number next = store_.revision() + 1;
   problem_list problems;
   std::vector<edit> previous;
-  for (const edit& it : asked.edits) {
+  for (const edit& it : requested.edits) {
     const stored_spec* old = store_.find_spec(it.kind, it.name);
     const json before = old == nullptr ? json() : old->spec();
     const revision_number base = old == nullptr ? 0 : old->revision;
@@ -270,20 +279,20 @@
     one["name"] = it.name;
     one["before"] = before;
     one["after"] = it.spec;
-    touched.append(std::move(one));
+    changed.append(std::move(one));
     store_.put(it, next, problems);
   }
   if (problems.empty()) store_.check(problems);
   roll_back(previous);
   if (!problems.empty()) {
-    return refusal(change_status::invalid, store_.revision(),
-                   problems.to_text("change"),
-                   "correct the named objects and apply again under a new "
-                   "--change-id");
+    return rejected(change_status::invalid, store_.revision(),
+                    problems.to_text("change"),
+                    "correct the named objects and apply again under a new "
+                    "--change-id");
   }
-  applied_change accepted{next, asked.at, asked.edits, nullptr, {}, {}};
+  applied_change accepted{next, requested.at, requested.edits, nullptr, {}, {}};
   for (edit& it : accepted.edits) it.base.reset();
-  add_to_history(std::move(accepted));
+  apply_accepted(std::move(accepted));
   return {change_status::accepted, next,
           "in the log at revision " + std::to_string(next), "",
           store_.warnings()};
@@ -294,7 +303,7 @@
   for (const applied_change& it : history_) size += it.size();
   // A watcher that is further behind is sent the whole configuration.
   while (history_.size() > limits_.history ||
-         (size > limits_.history_edits && history_.size() > 1)) {
+         (size > limits_.history_items && history_.size() > 1)) {
     size -= history_.front().size();
     history_.pop_front();
   }
@@ -307,39 +316,39 @@
   }
 }
 
-void config_state_machine::remember(const change& asked,
-                                    const change_result& outcome) {
-  known_[asked.id] = {request_digest(asked), outcome};
-  known_order_.push_back(asked.id);
-  if (known_order_.size() <= limits_.change_ids) return;
-  known_.erase(known_order_.front());
-  known_order_.pop_front();
+void config_state_machine::remember_result(const change& requested,
+                                           const change_result& outcome) {
+  results_by_id_[requested.id] = {change_digest(requested), outcome};
+  result_order_.push_back(requested.id);
+  if (result_order_.size() <= limits_.change_ids) return;
+  results_by_id_.erase(result_order_.front());
+  result_order_.pop_front();
 }
 
-void config_state_machine::record(const change& asked,
-                                  const change_result& outcome,
-                                  const json& touched) {
-  audit_.push_back({next_sequence_++, asked.at, asked.operator_name, asked.id,
-                    outcome, to_text(touched)});
+void config_state_machine::add_audit_record(const change& requested,
+                                            const change_result& outcome,
+                                            const json& changed) {
+  audit_.push_back({next_sequence_++, requested.at, requested.operator_name,
+                    requested.id, outcome, to_text(changed)});
   if (audit_.size() > limits_.audit_records) audit_.pop_front();
   if (on_decided) on_decided(audit_.back());
 }
 
 std::optional<change_result> config_state_machine::result_of(
     const std::string& change_id) const {
-  const auto it = known_.find(change_id);
-  if (it == known_.end()) return std::nullopt;
+  const auto it = results_by_id_.find(change_id);
+  if (it == results_by_id_.end()) return std::nullopt;
   return it->second.outcome;
 }
 
-std::optional<change_result> config_state_machine::known_result(
-    const change& asked) const {
-  const auto it = known_.find(asked.id);
-  if (it == known_.end()) return std::nullopt;
-  if (it->second.digest == request_digest(asked)) return it->second.outcome;
-  return refusal(change_status::mismatch, store_.revision(),
-                 "change id " + asked.id + " was used for another change",
-                 "use a new --change-id for a new change");
+std::optional<change_result> config_state_machine::first_result(
+    const change& requested) const {
+  const auto it = results_by_id_.find(requested.id);
+  if (it == results_by_id_.end()) return std::nullopt;
+  if (it->second.digest == change_digest(requested)) return it->second.outcome;
+  return rejected(change_status::mismatch, store_.revision(),
+                  "change id " + requested.id + " was used for another change",
+                  "use a new --change-id for a new change");
 }
 
 watch_update config_state_machine::update_since(revision_number from) const {
@@ -370,8 +379,8 @@
   json out;
   out["store"] = store_.to_json();
   json known(Json::arrayValue);
-  for (const std::string& id : known_order_) {
-    const known_change& it = known_.at(id);
+  for (const std::string& id : result_order_) {
+    const decided_change& it = results_by_id_.at(id);
     json one;
     one["id"] = id;
     one["digest"] = it.digest;
@@ -394,15 +403,15 @@
 
 void config_state_machine::load(std::string_view data) {
   store_ = object_store();
-  known_.clear();
-  known_order_.clear();
+  results_by_id_.clear();
+  result_order_.clear();
   audit_.clear();
   history_.clear();
   ledgers_.clear();
   next_sequence_ = 1;
   if (data.empty()) return;
   const std::optional<std::string> text =
-      unpack_printable(data, most_snapshot_bytes);
+      unpack_printable(data, max_snapshot_bytes);
   const result<json> parsed = parse_json(text.value_or(""));
   if (!parsed) {
     log_event(log_level::error, "snapshot-unreadable",
@@ -414,9 +423,9 @@
   if (store) store_ = std::move(*store);
   for (const json& it : member_of(*parsed, "changes")) {
     const std::string id = text_of(it, "id");
-    known_[id] = {text_of(it, "digest"),
-                  change_result_from(member_of(it, "outcome"))};
-    known_order_.push_back(id);
+    results_by_id_[id] = {text_of(it, "digest"),
+                          change_result_from(member_of(it, "outcome"))};
+    result_order_.push_back(id);
   }
   for (const json& it : member_of(*parsed, "audit")) {
     audit_.push_back(audit_record_from(it));
@@ -427,9 +436,9 @@
   }
   // The history must end at the revision of the store. Otherwise it is dropped,
   // and watchers that are behind are sent the whole configuration.
-  const bool sound =
+  const bool valid =
       !history_.empty() && history_.back().revision == store_.revision();
-  if (!sound) history_.clear();
+  if (!valid) history_.clear();
   for (const json& it : member_of(*parsed, "ledgers")) {
     const ledger_founding one = ledger_founding_from(it);
     ledgers_[one.region] = one;
--- a/config/src/store.cc
+++ b/config/src/store.cc
@@ -52,7 +52,7 @@
   return parsed ? *parsed : json();
 }
 
-json former_spec::spec() const {
+json replaced_spec::spec() const {
   const result<json> parsed = parse_json(text);
   return parsed ? *parsed : json();
 }
@@ -69,7 +69,7 @@
   return it == callers_.end() ? nullptr : it->second;
 }
 
-std::shared_ptr<const caller> object_store::caller_with_token(
+std::shared_ptr<const caller> object_store::find_caller_by_token(
     const std::string& sha256) const {
   const auto it = caller_by_token_.find(sha256);
   return it == caller_by_token_.end() ? nullptr : find_caller(it->second);
@@ -98,7 +98,7 @@
                  "use one name for the object and its specification");
     return;
   }
-  const auto clean = [&problems, before] {
+  const auto no_new_problems = [&problems, before] {
     return problems.items().size() == before;
   };
   switch (change.kind) {
@@ -108,7 +108,7 @@
         break;
       }
       region value = read_region(change.spec, problems);
-      if (clean()) replace(regions_, change.name, std::move(value));
+      if (no_new_problems()) replace(regions_, change.name, std::move(value));
       break;
     }
     case object_kind::service: {
@@ -121,7 +121,7 @@
         problems.add(change.spec, "service.key_window",
                      "the window is longer than 24 h", "write 24 h at most");
       }
-      if (clean()) replace(services_, change.name, std::move(value));
+      if (no_new_problems()) replace(services_, change.name, std::move(value));
       break;
     }
     case object_kind::endpoint: {
@@ -130,7 +130,7 @@
         break;
       }
       endpoint value = read_endpoint(change.spec, problems);
-      if (clean()) replace(endpoints_, change.name, std::move(value));
+      if (no_new_problems()) replace(endpoints_, change.name, std::move(value));
       break;
     }
     case object_kind::placement_rule: {
@@ -139,7 +139,7 @@
         break;
       }
       placement_rule value = read_placement_rule(change.spec, problems);
-      if (clean()) replace(rules_, change.name, std::move(value));
+      if (no_new_problems()) replace(rules_, change.name, std::move(value));
       break;
     }
     case object_kind::caller: {
@@ -156,14 +156,14 @@
                      "caller " + owner->second + " has the same token",
                      "give each caller a token of its own");
       }
-      if (!clean()) break;
+      if (!no_new_problems()) break;
       if (old) caller_by_token_.erase(old->token_sha256);
       caller_by_token_[value.token_sha256] = change.name;
       replace(callers_, change.name, std::move(value));
       break;
     }
   }
-  if (!clean()) return;
+  if (!no_new_problems()) return;
   if (removed) {
     specs_[change.kind].erase(change.name);
   } else {
@@ -171,15 +171,15 @@
   }
 }
 
-void object_store::remember_former(const edit& change, wall_time at) {
-  while (!former_.empty() &&
-         former_.front().replaced_at + longest_key_window < at) {
-    former_.pop_front();
+void object_store::record_replaced(const edit& change, wall_time at) {
+  while (!replaced_specs_.empty() &&
+         replaced_specs_.front().replaced_at + longest_key_window < at) {
+    replaced_specs_.pop_front();
   }
   // The region that keeps a request's record doesn't depend on endpoints.
   if (change.kind == object_kind::endpoint) return;
   const stored_spec* old = find_spec(change.kind, change.name);
-  former_.push_back(
+  replaced_specs_.push_back(
       {change.kind, change.name, old == nullptr ? "" : old->text, at});
 }
 
@@ -242,7 +242,7 @@
     evacuated_.insert(zone);
   } else {
     evacuated_.erase(zone);
-    given_back_[zone] = revision;
+    ended_evacuations_[zone] = revision;
   }
 }
 
@@ -260,14 +260,14 @@
           text_of(value, "service"), text_of(value, "evidence")};
 }
 
-void object_store::set_held(const request_hold& it, wall_time at,
+void object_store::set_hold(const request_hold& it, wall_time at,
                             revision_number revision) {
   if (!it.held) {
     held_requests_.erase(it.fingerprint);
     return;
   }
   held_requests_[it.fingerprint] = {it.service, it.evidence, at, revision};
-  if (held_requests_.size() <= most_held_requests) return;
+  if (held_requests_.size() <= max_held_requests) return;
   const auto oldest =
       std::min_element(held_requests_.begin(), held_requests_.end(),
                        [](const auto& a, const auto& b) {
@@ -287,17 +287,17 @@
     }
   }
   out["objects"] = std::move(objects);
-  json former(Json::arrayValue);
-  for (const former_spec& it : former_) {
+  json replaced_specs(Json::arrayValue);
+  for (const replaced_spec& it : replaced_specs_) {
     json one = config::to_json(edit{it.kind, it.name, it.spec(), std::nullopt});
     one["replaced_at"] = json(Json::Int64(to_unix_ms(it.replaced_at)));
-    former.append(std::move(one));
+    replaced_specs.append(std::move(one));
   }
-  out["former"] = std::move(former);
+  out["former"] = std::move(replaced_specs);
   if (plan_) out["plan"] = config::to_json(*plan_, form);
   json& evacuated = out["evacuated_zones"] = json(Json::arrayValue);
   for (const std::string& it : evacuated_) evacuated.append(it);
-  for (const auto& [zone, revision] : given_back_) {
+  for (const auto& [zone, revision] : ended_evacuations_) {
     out["zones_given_back"][zone] = json(Json::UInt64(revision));
   }
   for (const auto& [fingerprint, it] : held_requests_) {
@@ -321,7 +321,7 @@
   for (const json& it : member_of(value, "former")) {
     const result<edit> one = edit_from(it);
     if (!one) return tl::make_unexpected(one.error());
-    out.former_.push_back(
+    out.replaced_specs_.push_back(
         {one->kind, one->name, one->spec.isNull() ? "" : to_text(one->spec),
          from_unix_ms(
              static_cast<std::int64_t>(number_of(it, "replaced_at")))});
@@ -341,16 +341,16 @@
   for (const json& it : member_of(value, "evacuated_zones")) {
     if (it.isString()) out.evacuated_.insert(it.asString());
   }
-  const json& given_back = member_of(value, "zones_given_back");
-  if (given_back.isObject()) {
-    for (const std::string& it : given_back.getMemberNames()) {
-      out.given_back_[it] = number_of(given_back, it.c_str());
+  const json& ended_evacuations = member_of(value, "zones_given_back");
+  if (ended_evacuations.isObject()) {
+    for (const std::string& it : ended_evacuations.getMemberNames()) {
+      out.ended_evacuations_[it] = number_of(ended_evacuations, it.c_str());
     }
   }
   for (const json& it : member_of(value, "held_requests")) {
     const wall_time since =
         from_unix_ms(static_cast<std::int64_t>(number_of(it, "since")));
-    out.set_held(request_hold_from(it), since, number_of(it, "revision"));
+    out.set_hold(request_hold_from(it), since, number_of(it, "revision"));
   }
   out.revision_ = number_of(value, "revision");
   return out;
--- a/config/src/traffic_plan.cc
+++ b/config/src/traffic_plan.cc
@@ -17,7 +17,7 @@
   return milliseconds(static_cast<std::int64_t>(number_of(value, key)));
 }
 
-unsigned small_number_of(const json& value, const char* key) {
+unsigned unsigned_of(const json& value, const char* key) {
   return static_cast<unsigned>(number_of(value, key));
 }
 
@@ -45,14 +45,14 @@
 
 engine_profile engine_from(const json& value) {
   engine_profile out;
-  out.batch_slots = small_number_of(value, "batch_slots");
+  out.batch_slots = unsigned_of(value, "batch_slots");
   out.kv_capacity = number_of(value, "kv_capacity");
   out.kv_token_bytes = real_of(value, "kv_token_bytes");
   out.link_mbps = real_of(value, "link_mbps");
   out.moves = flag_of(value, "moves");
   out.backups = flag_of(value, "backups");
-  out.tokens_per_event = small_number_of(value, "tokens_per_event");
-  out.most_event_watchers = small_number_of(value, "most_event_watchers");
+  out.tokens_per_event = unsigned_of(value, "tokens_per_event");
+  out.most_event_watchers = unsigned_of(value, "most_event_watchers");
   out.longest_pin = duration_of(value, "longest_pin_ms");
   out.longest_hold = duration_of(value, "longest_hold_ms");
   out.handle_lifetime = duration_of(value, "handle_lifetime_ms");
@@ -74,7 +74,7 @@
   planned_service out;
   out.name = text_of(value, "name");
   out.health_path = text_of(value, "health_path");
-  out.most_connections = small_number_of(value, "most_connections");
+  out.most_connections = unsigned_of(value, "most_connections");
   out.warmup = duration_of(value, "warmup_ms");
   out.cold_requests_per_second = real_of(value, "cold_requests_per_second");
   const json& engine = member_of(value, "engine");
@@ -86,7 +86,7 @@
   return fail(error_kind::bad_input, std::move(what), plan_remedy);
 }
 
-result<void> check_split(const traffic_plan& plan, const route& it) {
+result<void> validate_split(const traffic_plan& plan, const route& it) {
   std::uint64_t sum = 0;
   for (const weighted_service& one : it.split) {
     if (plan.find_service(one.service) == nullptr) {
@@ -99,18 +99,18 @@
   return invalid("the weights of route " + it.name + " sum to 0");
 }
 
-result<void> check_route(const traffic_plan& plan, const route& it) {
+result<void> validate_route(const traffic_plan& plan, const route& it) {
   if (it.host.empty()) return invalid("route " + it.name + " has no host");
-  const bool framed =
+  const bool slash_delimited =
       it.path_prefix.starts_with('/') && it.path_prefix.ends_with('/');
-  if (!framed) {
+  if (!slash_delimited) {
     return invalid("the path prefix of route " + it.name +
                    " does not begin and end with a slash");
   }
   if (it.timeout <= milliseconds(0)) {
     return invalid("the timeout of route " + it.name + " is 0");
   }
-  return check_split(plan, it);
+  return validate_split(plan, it);
 }
 
 }  // namespace
@@ -175,12 +175,11 @@
   out.latency_objective = duration_of(value, "latency_objective_ms");
   out.longest_pause = duration_of(value, "longest_pause_ms");
   out.priority = static_cast<int>(number_of(value, "priority"));
-  out.attempts = small_number_of(value, "attempts");
+  out.attempts = unsigned_of(value, "attempts");
   out.prefix_affinity = flag_of(value, "prefix_affinity");
   out.resumable = flag_of(value, "resumable");
   for (const json& it : member_of(value, "split")) {
-    out.split.push_back(
-        {text_of(it, "service"), small_number_of(it, "weight")});
+    out.split.push_back({text_of(it, "service"), unsigned_of(it, "weight")});
   }
   for (const json& it : member_of(value, "home_regions")) {
     if (it.isString()) out.home_regions.push_back(it.asString());
@@ -224,7 +223,7 @@
   out["routes"] = to_json(value.routes);
   out["services"] = to_json(value.services);
   out["limits"] = to_json(value.limits);
-  if (form == plan_form::whole) out["document"] = value.document;
+  if (form == plan_form::full) out["document"] = value.document;
   return out;
 }
 
@@ -241,7 +240,7 @@
   return out;
 }
 
-result<void> check_plan(const traffic_plan& value) {
+result<void> validate_plan(const traffic_plan& value) {
   std::set<std::string> services;
   for (const planned_service& it : value.services) {
     if (it.name.empty()) return invalid("a service has no name");
@@ -249,11 +248,11 @@
       return invalid("the service " + it.name + " is listed twice");
     }
   }
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> keys;
   for (const route& it : value.routes) {
-    result<void> sound = check_route(value, it);
-    if (!sound) return sound;
-    if (!places.insert({it.host, it.path_prefix}).second) {
+    result<void> valid = validate_route(value, it);
+    if (!valid) return valid;
+    if (!keys.insert({it.host, it.path_prefix}).second) {
       return invalid("two routes have the host and path prefix " + it.host +
                      it.path_prefix);
     }
--- a/config/src/watch_update.cc
+++ b/config/src/watch_update.cc
@@ -50,21 +50,21 @@
   return out;
 }
 
-void apply_to(object_store& store, const applied_change& it,
-              problem_list& problems) {
+void apply_change(object_store& store, const applied_change& it,
+                  problem_list& problems) {
   for (const edit& one : it.edits) {
-    store.remember_former(one, it.at);
+    store.record_replaced(one, it.at);
     store.put(one, it.revision, problems);
   }
   if (it.plan) {
     store.set_plan(std::make_shared<const traffic_plan>(
-        apply_delta(store.plan().get(), *it.plan)));
+        apply_plan_delta(store.plan().get(), *it.plan)));
   }
   if (it.evacuation) {
     store.set_evacuated(it.evacuation->availability_zone,
                         it.evacuation->evacuated, it.revision);
   }
-  if (it.hold) store.set_held(*it.hold, it.at, it.revision);
+  if (it.hold) store.set_hold(*it.hold, it.at, it.revision);
   store.set_revision(it.revision);
 }
 
@@ -109,7 +109,7 @@
                       std::to_string(store.revision()),
                   "poll again from that revision");
     }
-    apply_to(store, it, problems);
+    apply_change(store, it, problems);
   }
   return {};
 }
--- a/config/test/control_machine.cc
+++ b/config/test/control_machine.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void plan_machine::renew() {
+void observed_machine::reset_state() {
   state_limits small;
   small.change_ids = 40;
   small.audit_records = 10;
@@ -23,17 +23,17 @@
   };
 }
 
-void plan_machine::apply(const consensus::entry& committed) {
+void observed_machine::apply(const consensus::entry& committed) {
   if (skip_number_check) {
-    const result<change> asked = change_from(*parse_json(committed.data));
-    const bool replaces = asked->plan && check_plan(*asked->plan);
-    if (replaces) renew();
+    const result<change> requested = change_from(*parse_json(committed.data));
+    const bool replaces = requested->plan && validate_plan(*requested->plan);
+    if (replaces) reset_state();
   }
   inner_->apply(committed);
   if (on_applied) on_applied(committed);
 }
 
-void plan_machine::load(std::string_view data) {
+void observed_machine::load(std::string_view data) {
   inner_->load(data);
   if (on_loaded) on_loaded();
 }
@@ -71,7 +71,7 @@
 }
 
 void control_machine::found(const std::string& group_id) {
-  guarded([this, &group_id] {
+  run_guarded([this, &group_id] {
     process_->host->found(local_now, group_id, {{id(), true, address}});
   });
 }
@@ -88,7 +88,7 @@
   disk.incarnation = incarnation;
 }
 
-void control_machine::guarded(const std::function<void()>& action) {
+void control_machine::run_guarded(const std::function<void()>& action) {
   try {
     action();
   } catch (const consensus::test::crash_signal&) {
@@ -97,10 +97,10 @@
   }
 }
 
-void control_machine::deliver(const letter& in) {
-  guarded([this, &in] {
+void control_machine::deliver(const machine_message& in) {
+  run_guarded([this, &in] {
     if (!in.message) {
-      take_join(in);
+      receive_join(in);
       return;
     }
     process_->growth.heard(*process_->host, local_now, in.message->from,
@@ -109,31 +109,31 @@
   });
 }
 
-void control_machine::take_join(const letter& in) {
+void control_machine::receive_join(const machine_message& in) {
   const bool taken = process_->growth.handle_join(*process_->host, local_now,
                                                   in.joiner, in.joiner_address);
   const std::optional<consensus::replica_id> leader = host().core().leader();
-  if (taken || !leader || in.passed_on) return;
-  post_join(process_->growth.address_of(host(), leader->node), in.joiner,
+  if (taken || !leader || in.forwarded) return;
+  send_join(process_->growth.address_of(host(), leader->node), in.joiner,
             in.joiner_address, true);
 }
 
-void control_machine::post_join(const std::string& to,
+void control_machine::send_join(const std::string& to,
                                 const consensus::replica_id& joiner,
                                 const std::string& joiner_address,
-                                bool passed_on) {
-  letter out;
+                                bool forwarded) {
+  machine_message out;
   out.from_machine = name;
   out.from_address = address;
   out.to_address = to;
   out.joiner = joiner;
   out.joiner_address = joiner_address;
-  out.passed_on = passed_on;
+  out.forwarded = forwarded;
   post(std::move(out));
 }
 
 void control_machine::send(const consensus::message& out) {
-  letter one;
+  machine_message one;
   one.from_machine = name;
   one.from_address = address;
   one.to_address = process_->growth.address_of(host(), out.to.node);
@@ -142,7 +142,7 @@
 }
 
 void control_machine::tick(const std::vector<std::string>& contacts) {
-  guarded([this] {
+  run_guarded([this] {
     process_->host->tick(local_now);
     process_->growth.observe(*process_->host, local_now, leads(), address);
   });
@@ -150,7 +150,7 @@
   if (local_now < process_->next_join || !host().needs_join(local_now)) return;
   process_->next_join = local_now + join_interval;
   for (const std::string& it : contacts) {
-    if (it != address) post_join(it, id(), address, false);
+    if (it != address) send_join(it, id(), address, false);
   }
 }
 
@@ -166,17 +166,18 @@
 }
 
 void control_machine::propose(
-    const change& asked, std::function<void(const change_result&)> decided) {
-  process_->waiting[asked.id] = std::move(decided);
-  guarded([this, &asked] {
+    const change& requested,
+    std::function<void(const change_result&)> decided) {
+  process_->waiting[requested.id] = std::move(decided);
+  run_guarded([this, &requested] {
     const result<consensus::log_index> proposed =
-        process_->host->propose(local_now, to_text(to_json(asked)));
-    if (!proposed) process_->waiting.erase(asked.id);
+        process_->host->propose(local_now, to_text(to_json(requested)));
+    if (!proposed) process_->waiting.erase(requested.id);
   });
 }
 
 void control_machine::read(std::function<void()> ready) {
-  guarded([this, &ready] {
+  run_guarded([this, &ready] {
     // Fails if this machine doesn't lead; then `ready` is never called.
     process_->host->request_read(local_now, process_->next_read++, ready);
   });
--- a/config/test/control_machine.h
+++ b/config/test/control_machine.h
@@ -18,18 +18,18 @@
 
 /// A message between two machines: a consensus message, or a join request if
 /// `message` is unset.
-struct letter {
+struct machine_message {
   std::string from_machine;
   std::string from_address;
   std::string to_address;
   std::optional<consensus::message> message;
   consensus::replica_id joiner;
   std::string joiner_address;
-  bool passed_on = false;
+  bool forwarded = false;
 };
 
 /// The configuration state machine with callbacks for the simulation's checks.
-class plan_machine final : public consensus::state_machine {
+class observed_machine final : public consensus::state_machine {
  public:
   std::function<void(const consensus::entry&)> on_applied;
   std::function<void()> on_loaded;
@@ -37,7 +37,7 @@
   /// Fault injection: the latest plan is put in force regardless of its number.
   bool skip_number_check = false;
 
-  plan_machine() { renew(); }
+  observed_machine() { reset_state(); }
   void apply(const consensus::entry& committed) override;
   std::string save() const override { return inner_->save(); }
   void load(std::string_view data) override;
@@ -45,7 +45,7 @@
   const plan_ptr& plan() const { return inner_->store().plan(); }
 
  private:
-  void renew();
+  void reset_state();
   std::unique_ptr<config_state_machine> inner_;
 };
 
@@ -67,7 +67,7 @@
                   std::uint64_t incarnation);
 
   // Set by the simulation before the first start.
-  std::function<void(letter)> post;
+  std::function<void(machine_message)> post;
   std::function<void(const consensus::entry&)> on_applied;
   std::function<void()> on_loaded;
   std::function<void()> on_crash;
@@ -78,7 +78,7 @@
   void found(const std::string& group_id);
   void stop();
   void lose_disk(std::uint64_t incarnation);
-  void deliver(const letter& in);
+  void deliver(const machine_message& in);
   void tick(const std::vector<std::string>& contacts);
   void send(const consensus::message& out) override;
 
@@ -86,7 +86,7 @@
   bool may_acknowledge() const;
   /// Proposes a change. `decided` is called when the change is decided on this
   /// machine; it may never be called.
-  void propose(const change& asked,
+  void propose(const change& requested,
                std::function<void(const change_result&)> decided);
   /// Requests a linearizable read; `ready` is called when it is confirmed.
   void read(std::function<void()> ready);
@@ -94,7 +94,7 @@
   consensus::replica_id id() const { return {name, disk.incarnation}; }
   bool running() const { return process_ != nullptr; }
   const consensus::group_host& host() const { return *process_->host; }
-  const plan_machine& machine() const { return process_->machine; }
+  const observed_machine& machine() const { return process_->machine; }
 
   std::string name;
   std::string address;
@@ -107,9 +107,9 @@
 
  private:
   struct process {
-    std::map<std::string, std::string> heard_from;
-    plan_machine machine;
-    consensus::group_growth growth{heard_from};
+    std::map<std::string, std::string> node_addresses;
+    observed_machine machine;
+    consensus::group_growth growth{node_addresses};
     std::unique_ptr<consensus::group_host> host;
     std::map<std::string, std::function<void(const change_result&)>> waiting;
     std::uint64_t next_read = 1;
@@ -117,10 +117,10 @@
   };
 
   /// Runs `action`. If the simulated disk raises a crash, stops the process.
-  void guarded(const std::function<void()>& action);
-  void take_join(const letter& in);
-  void post_join(const std::string& to, const consensus::replica_id& joiner,
-                 const std::string& joiner_address, bool passed_on);
+  void run_guarded(const std::function<void()>& action);
+  void receive_join(const machine_message& in);
+  void send_join(const std::string& to, const consensus::replica_id& joiner,
+                 const std::string& joiner_address, bool forwarded);
 
   machine_options options_;
   std::unique_ptr<process> process_;
--- a/config/test/growth_simulation.cc
+++ b/config/test/growth_simulation.cc
@@ -15,22 +15,22 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds step_time{20};
-constexpr int steps_of_young_group = 200;  // 4 s without random faults
-constexpr int steps_to_converge = 3000;    // 60 s
-constexpr int answer_steps = 30;           // 0.6 s
-constexpr int seed_list_interval =
-    150;  // 3 s, the delay of the platform's list
+constexpr int initial_steps = 200;       // 4 s without random faults
+constexpr int steps_to_converge = 3000;  // 60 s
+constexpr int answer_steps = 30;         // 0.6 s
+// The list of seeds is updated every 3 s, the delay of the platform's list.
+constexpr int seed_list_interval = 150;
 constexpr std::size_t seed_count = 3;
 // Number of equally likely choices in inject_fault.
 constexpr int fault_choices = 14;
-constexpr int longest_kill = 150;  // steps: 3 s
+constexpr int max_down_steps = 150;  // steps: 3 s
 // 300 steps (6 s) are longer than the time without messages after which a voter
 // counts as failed.
-constexpr int longest_freeze = 300;
+constexpr int max_freeze_steps = 300;
 
 /// A message and the step at which it is delivered.
-struct parcel {
-  letter content;
+struct queued_message {
+  machine_message message;
   int due_step = 0;
 };
 
@@ -40,62 +40,64 @@
   explicit growth_simulation(const growth_options& options)
       : options_(options),
         random_(options.seed),
-        operators_(random_, options.reads,
-                   [this](const std::string& property,
-                          const std::string& what) { add(property, what); }) {}
+        operators_(
+            random_, options.reads,
+            [this](const std::string& property, const std::string& what) {
+              report(property, what);
+            }) {}
 
   growth_outcome run();
 
  private:
   using machine_ptr = std::unique_ptr<control_machine>;
 
-  void add(const std::string& property, const std::string& what);
+  void report(const std::string& property, const std::string& what);
   void set_up();
   void add_machine(const std::string& name);
   void start(control_machine& it);
   void found(control_machine& seed);
-  void post(const letter& out);
+  void post(const machine_message& out);
   void step(bool faults);
   void inject_fault();
   void lose_disks();
-  void replace_disk(control_machine& it);
+  void erase_disk(control_machine& it);
   void move(control_machine& it);
-  void exchange(control_machine& one, control_machine& other);
+  void swap_addresses(control_machine& one, control_machine& other);
   void change_machines();
-  void kill(control_machine& it, int longest);
-  void operate();
+  void kill(control_machine& it, int max_steps);
+  void run_operators();
   void deliver();
   void tick_all();
   void check();
-  void heal();
+  void clear_faults();
   bool awake(const control_machine& it) const;
   control_machine* lease_holder() const;
-  bool all_taken_in() const;
+  bool all_joined() const;
   bool may_lose_disks() const;
   bool converges();
-  void finish();
-  control_machine& any();
+  void check_convergence();
+  control_machine& random_machine();
 
   growth_options options_;
   machine_options machine_options_;
   seeded_random random_;
   plan_operators operators_;
   std::vector<machine_ptr> machines_;
-  std::vector<parcel> parcels_;
-  std::set<std::pair<std::string, std::string>> cuts_;
+  std::vector<queued_message> queue_;
+  std::set<std::pair<std::string, std::string>> blocked_links_;
   std::vector<std::string> seeds_;
   std::set<std::string> groups_;
   std::map<consensus::term_number, std::string> leaders_;
   growth_outcome outcome_;
-  bool disturbed_ = false;
+  bool faults_injected_ = false;
   bool loss_due_ = false;
   int step_ = 0;
   std::uint64_t next_incarnation_ = 1;
   std::uint64_t next_address_ = 1;
 };
 
-void growth_simulation::add(const std::string& property,
-                            const std::string& what) {
+void growth_simulation::report(const std::string& property,
+                               const std::string& what) {
   outcome_.violations.push_back(
       {property, "step " + std::to_string(step_) + ": " + what});
 }
@@ -127,7 +129,7 @@
   const std::uint64_t width = 2 * static_cast<std::uint64_t>(spread) + 1;
   it->clock_percent = 100 - spread + static_cast<int>(random_.below(width));
   it->down_until = static_cast<int>(random_.below(15));  // within 0.3 s
-  it->post = [this](const letter& out) { post(out); };
+  it->post = [this](const machine_message& out) { post(out); };
   it->on_applied = [this, it](const consensus::entry& committed) {
     operators_.observe_applied(*it, committed);
   };
@@ -147,25 +149,25 @@
     groups_.insert(group);
     seed.found(group);
   }
-  if (groups_.size() > 1) add(one_group, seed.name + " founded a second group");
+  if (groups_.size() > 1) report(single_group, seed.name + " founded another");
 }
 
-void growth_simulation::post(const letter& out) {
+void growth_simulation::post(const machine_message& out) {
   for (const machine_ptr& to : machines_) {
     if (!to->present || to->address != out.to_address) continue;
-    if (cuts_.contains({out.from_machine, to->name})) return;
+    if (blocked_links_.contains({out.from_machine, to->name})) return;
   }
   if (random_.below(100) < 3) return;
   const int delay = 1 + static_cast<int>(random_.below(4));
-  parcels_.push_back({out, step_ + delay});
-  if (random_.below(100) < 3) parcels_.push_back({out, step_ + delay + 7});
+  queue_.push_back({out, step_ + delay});
+  if (random_.below(100) < 3) queue_.push_back({out, step_ + delay + 7});
 }
 
 bool growth_simulation::awake(const control_machine& it) const {
   return it.running() && step_ >= it.frozen_until;
 }
 
-control_machine& growth_simulation::any() {
+control_machine& growth_simulation::random_machine() {
   return *machines_[random_.below(machines_.size())];
 }
 
@@ -176,7 +178,7 @@
   return nullptr;
 }
 
-bool growth_simulation::all_taken_in() const {
+bool growth_simulation::all_joined() const {
   const control_machine* leader = lease_holder();
   if (leader == nullptr) return false;
   const consensus::replica& core = leader->host().core();
@@ -197,16 +199,16 @@
 bool growth_simulation::may_lose_disks() const {
   // Before the first fault all machines have been connected since the founding,
   // so the group must tolerate the losses regardless of its membership.
-  if (!disturbed_ && operators_.acknowledged() > 0) return true;
-  return all_taken_in();
+  if (!faults_injected_ && operators_.acknowledged() > 0) return true;
+  return all_joined();
 }
 
-void growth_simulation::kill(control_machine& it, int longest) {
+void growth_simulation::kill(control_machine& it, int max_steps) {
   it.stop();
-  it.down_until = step_ + 1 + static_cast<int>(random_.below(longest));
+  it.down_until = step_ + 1 + static_cast<int>(random_.below(max_steps));
 }
 
-void growth_simulation::replace_disk(control_machine& it) {
+void growth_simulation::erase_disk(control_machine& it) {
   const std::uint64_t former = it.disk.incarnation;
   it.lose_disk(options_.reuse_incarnation ? former : 100 + next_incarnation_++);
   kill(it, 100);
@@ -218,33 +220,34 @@
 
 void growth_simulation::lose_disks() {
   if (!may_lose_disks()) return;
-  if (!disturbed_) ++outcome_.losses_of_young_group;
-  std::vector<control_machine*> left;
+  if (!faults_injected_) ++outcome_.initial_losses;
+  std::vector<control_machine*> remaining;
   for (const machine_ptr& it : machines_) {
-    if (it->present) left.push_back(it.get());
+    if (it->present) remaining.push_back(it.get());
   }
   for (std::size_t i = 0; i < options_.tolerated_losses; ++i) {
-    const std::size_t at = random_.below(left.size());
-    replace_disk(*left[at]);
-    left.erase(left.begin() + static_cast<std::ptrdiff_t>(at));
+    const std::size_t at = random_.below(remaining.size());
+    erase_disk(*remaining[at]);
+    remaining.erase(remaining.begin() + static_cast<std::ptrdiff_t>(at));
   }
-  ++outcome_.losses_at_once;
-  disturbed_ = true;
+  ++outcome_.simultaneous_losses;
+  faults_injected_ = true;
   if (random_.below(3) != 0) return;
-  for (control_machine* it : left) kill(*it, 50);  // a power failure
+  for (control_machine* it : remaining) kill(*it, 50);  // a power failure
 }
 
 void growth_simulation::move(control_machine& it) {
   // Only one machine moves at a time: if all members moved at once, none would
   // know the address of another.
-  if (!all_taken_in()) return;
+  if (!all_joined()) return;
   kill(it, 50);
   it.address = "address " + std::to_string(next_address_++);
   ++outcome_.moves;
 }
 
-void growth_simulation::exchange(control_machine& one, control_machine& other) {
-  if (!one.present || !other.present || !all_taken_in()) return;
+void growth_simulation::swap_addresses(control_machine& one,
+                                       control_machine& other) {
+  if (!one.present || !other.present || !all_joined()) return;
   kill(one, 50);
   kill(other, 50);
   std::swap(one.address, other.address);
@@ -258,20 +261,20 @@
     return;
   }
   // One machine is removed permanently once its successor is in the group.
-  if (outcome_.retired > 0 || !spare.present || !all_taken_in()) return;
-  control_machine& leaving = any();
+  if (outcome_.retired > 0 || !spare.present || !all_joined()) return;
+  control_machine& leaving = random_machine();
   leaving.stop();
   leaving.present = false;
   ++outcome_.retired;
 }
 
 void growth_simulation::inject_fault() {
-  control_machine& it = any();
-  const control_machine& other = any();
+  control_machine& it = random_machine();
+  const control_machine& other = random_machine();
   if (!it.present) return;
   switch (random_.below(fault_choices)) {
     case 0:
-      kill(it, longest_kill);
+      kill(it, max_down_steps);
       break;
     case 1:
       it.disk.crash_before_sync = static_cast<int>(random_.below(3));
@@ -280,24 +283,25 @@
       it.disk.crash_after_sync = static_cast<int>(random_.below(3));
       break;
     case 3:
-      it.frozen_until = step_ + static_cast<int>(random_.below(longest_freeze));
+      it.frozen_until =
+          step_ + static_cast<int>(random_.below(max_freeze_steps));
       break;
     case 4:
-      cuts_.emplace(it.name, other.name);
+      blocked_links_.emplace(it.name, other.name);
       break;
     case 5:
-      cuts_.emplace(it.name, other.name);
-      cuts_.emplace(other.name, it.name);
+      blocked_links_.emplace(it.name, other.name);
+      blocked_links_.emplace(other.name, it.name);
       break;
     case 6:
     case 7:
-      cuts_.clear();
+      blocked_links_.clear();
       break;
     case 8:
       move(it);
       break;
     case 9:
-      exchange(it, any());
+      swap_addresses(it, random_machine());
       break;
     case 10:
       change_machines();
@@ -306,37 +310,37 @@
       lose_disks();
       return;
   }
-  disturbed_ = true;
+  faults_injected_ = true;
 }
 
-void growth_simulation::operate() {
+void growth_simulation::run_operators() {
   std::vector<control_machine*> reachable;
   for (const machine_ptr& it : machines_) {
     if (awake(*it)) reachable.push_back(it.get());
   }
   // Operators know the leader most of the time.
   control_machine* leader = lease_holder();
-  const bool knows = leader != nullptr && random_.below(4) != 0;
-  if (knows && awake(*leader)) reachable = {leader};
-  operators_.act(reachable);
+  const bool leader_known = leader != nullptr && random_.below(4) != 0;
+  if (leader_known && awake(*leader)) reachable = {leader};
+  operators_.send_random(reachable);
   if (std::exchange(loss_due_, false)) lose_disks();
 }
 
 void growth_simulation::deliver() {
-  std::vector<parcel> due;
-  std::erase_if(parcels_, [this, &due](const parcel& it) {
+  std::vector<queued_message> due;
+  std::erase_if(queue_, [this, &due](const queued_message& it) {
     if (it.due_step > step_) return false;
     due.push_back(it);
     return true;
   });
-  for (const parcel& it : due) {
+  for (const queued_message& it : due) {
     for (const machine_ptr& to : machines_) {
-      if (to->address != it.content.to_address || !to->running()) continue;
+      if (to->address != it.message.to_address || !to->running()) continue;
       if (step_ < to->frozen_until) {
-        parcels_.push_back({it.content, to->frozen_until});
+        queue_.push_back({it.message, to->frozen_until});
         continue;
       }
-      to->deliver(it.content);
+      to->deliver(it.message);
     }
   }
 }
@@ -364,26 +368,26 @@
     const consensus::replica& core = it->host().core();
     const auto [found, added] = leaders_.emplace(core.term(), it->name);
     if (added) ++outcome_.leaders;
-    if (found->second != it->name) add(one_leader, "two leaders in one term");
+    if (found->second != it->name) report(single_leader, "two leaders");
     if (it->leads()) ++leases;
     outcome_.largest_group =
         std::max(outcome_.largest_group, core.members().size());
   }
-  if (leases > 1) add(one_lease, "two leases");
+  if (leases > 1) report(single_lease, "two leases");
 }
 
 void growth_simulation::step(bool faults) {
   ++step_;
-  const bool young = step_ < steps_of_young_group;
-  if (faults && !young && random_.below(100) < 3) inject_fault();
+  const bool initial_phase = step_ < initial_steps;
+  if (faults && !initial_phase && random_.below(100) < 3) inject_fault();
   deliver();
-  if (random_.below(100) < 20) operate();
+  if (random_.below(100) < 20) run_operators();
   tick_all();
   check();
 }
 
-void growth_simulation::heal() {
-  cuts_.clear();
+void growth_simulation::clear_faults() {
+  blocked_links_.clear();
   for (const machine_ptr& it : machines_) {
     it->frozen_until = 0;
     it->down_until = 0;
@@ -396,22 +400,22 @@
   const int end = step_ + steps_to_converge;
   while (step_ < end) {
     step(false);
-    if (!all_taken_in()) continue;
+    if (!all_joined()) continue;
     const plan_number before = operators_.acknowledged();
     operators_.send_newest(*lease_holder());
     for (int j = 0; j < answer_steps; ++j) step(false);
-    if (operators_.acknowledged() <= before || !all_taken_in()) continue;
+    if (operators_.acknowledged() <= before || !all_joined()) continue;
     operators_.read(*lease_holder());
     for (int j = 0; j < answer_steps; ++j) step(false);
-    if (operators_.shown() > before && all_taken_in()) return true;
+    if (operators_.highest_read() > before && all_joined()) return true;
   }
   return false;
 }
 
-void growth_simulation::finish() {
+void growth_simulation::check_convergence() {
   operators_.on_acknowledged = nullptr;
   loss_due_ = false;
-  heal();
+  clear_faults();
   bool converged = converges();
   if (converged) {
     // Power failure of all machines: state that isn't on disk is lost.
@@ -419,19 +423,19 @@
     converged = converges();
   }
   if (converged || !outcome_.violations.empty()) return;
-  const bool held = std::any_of(
+  const bool found = std::any_of(
       machines_.begin(), machines_.end(), [this](const machine_ptr& it) {
         const plan_ptr plan = it->running() ? it->machine().plan() : nullptr;
         return plan && plan->number >= operators_.acknowledged();
       });
-  if (!held) add(nothing_lost, "no machine has the acknowledged plan");
-  add(convergence, "not all machines are members of the group");
+  if (!found) report(no_plan_lost, "no machine has the acknowledged plan");
+  report(convergence, "not all machines are members of the group");
 }
 
 growth_outcome growth_simulation::run() {
   set_up();
   while (step_ < options_.steps && outcome_.violations.empty()) step(true);
-  if (outcome_.violations.empty()) finish();
+  if (outcome_.violations.empty()) check_convergence();
   outcome_.acknowledged = operators_.acknowledgements();
   outcome_.reads = operators_.reads();
   return outcome_;
@@ -439,7 +443,7 @@
 
 }  // namespace
 
-bool growth_outcome::broke(const std::string& property) const {
+bool growth_outcome::violated(const std::string& property) const {
   return std::any_of(
       violations.begin(), violations.end(),
       [&property](const violation& it) { return it.property == property; });
--- a/config/test/growth_simulation.h
+++ b/config/test/growth_simulation.h
@@ -14,9 +14,9 @@
 namespace trestlepost::config::test {
 
 // The checked properties of the group, as named in violations.
-inline constexpr char one_group[] = "at most one group is founded";
-inline constexpr char one_leader[] = "one leader per term";
-inline constexpr char one_lease[] = "one lease at a time";
+inline constexpr char single_group[] = "at most one group is founded";
+inline constexpr char single_leader[] = "one leader per term";
+inline constexpr char single_lease[] = "one lease at a time";
 inline constexpr char convergence[] = "all machines are members";
 
 /// Options of a run; equal options give identical runs.
@@ -46,15 +46,15 @@
   std::size_t acknowledged = 0;
   std::size_t reads = 0;
   std::size_t leaders = 0;
-  std::size_t losses_at_once = 0;         // of as many disks as are tolerated
-  std::size_t losses_of_young_group = 0;  // before any other fault
+  std::size_t simultaneous_losses = 0;  // of as many disks as are tolerated
+  std::size_t initial_losses = 0;       // before any other fault
   std::size_t moves = 0;
   std::size_t replaced = 0;
   std::size_t retired = 0;
   std::size_t largest_group = 0;
 
   /// Whether `property` was violated.
-  bool broke(const std::string& property) const;
+  bool violated(const std::string& property) const;
 };
 
 /// Runs a schedule of faults, then removes all faults and checks that the group
--- a/config/test/plan_delta-test.cc
+++ b/config/test/plan_delta-test.cc
@@ -50,31 +50,31 @@
 }
 
 consensus::entry entry_of(const traffic_plan& plan) {
-  change asked;
-  asked.id = "plan-" + std::to_string(plan.number);
-  asked.plan = std::make_shared<const traffic_plan>(plan);
+  change requested;
+  requested.id = "plan-" + std::to_string(plan.number);
+  requested.plan = std::make_shared<const traffic_plan>(plan);
   consensus::entry out;
   out.type = consensus::entry_type::command;
-  out.data = to_text(to_json(asked));
+  out.data = to_text(to_json(requested));
   return out;
 }
 
-RC_GTEST_PROP(plan_delta_test, a_delta_leads_from_one_plan_to_the_other, ()) {
+RC_GTEST_PROP(plan_delta_test, applied_delta_produces_the_target_plan, ()) {
   const traffic_plan before = any_plan(1);
   const traffic_plan after = any_plan(2);
   const bool first = *rc::gen::arbitrary<bool>();
   const traffic_plan* base = first ? nullptr : &before;
   const result<plan_delta> sent =
-      plan_delta_from(to_json(delta_between(base, after)));
+      plan_delta_from(to_json(make_plan_delta(base, after)));
   RC_ASSERT(sent.has_value());
-  const traffic_plan got = apply_delta(base, *sent);
+  const traffic_plan got = apply_plan_delta(base, *sent);
   RC_ASSERT(got.number == after.number);
   RC_ASSERT(sorted_routes(got) == sorted_routes(after));
   RC_ASSERT(got.services == after.services);
   RC_ASSERT(got.limits == after.limits);
 }
 
-TEST(plan_delta_test, a_small_change_of_a_large_plan_is_small) {
+TEST(plan_delta_test, small_change_of_large_plan_is_small_update) {
   config_state_machine machine;
   machine.apply(entry_of(plan_of(1, 4000)));
   traffic_plan next = plan_of(2, 4000);
@@ -88,7 +88,7 @@
   EXPECT_EQ(watcher.plan()->routes, next.routes);
 }
 
-TEST(plan_delta_test, a_watcher_far_behind_gets_the_whole_plan) {
+TEST(plan_delta_test, watcher_far_behind_receives_whole_plan) {
   config_state_machine machine;
   for (plan_number n = 1; n <= 40; ++n) {
     traffic_plan plan = plan_of(n, 3);
@@ -102,7 +102,7 @@
   EXPECT_EQ(watcher.plan()->number, 40U);
 }
 
-TEST(plan_delta_test, changes_are_still_known_after_a_snapshot) {
+TEST(plan_delta_test, history_survives_snapshot) {
   config_state_machine machine;
   machine.apply(entry_of(plan_of(1, 10)));
   machine.apply(entry_of(plan_of(2, 12)));
--- a/config/test/plan_edit-test.cc
+++ b/config/test/plan_edit-test.cc
@@ -37,15 +37,15 @@
   return out;
 }
 
-change_result apply(config_state_machine& to, const change& asked) {
+change_result apply(config_state_machine& to, const change& requested) {
   consensus::entry entry;
   entry.type = consensus::entry_type::command;
-  entry.data = encode_change(asked);
+  entry.data = encode_change(requested);
   to.apply(entry);
-  return *to.result_of(asked.id);
+  return *to.result_of(requested.id);
 }
 
-TEST(plan_edit_test, edits_lead_to_the_same_plan_as_whole_plans) {
+TEST(plan_edit_test, edits_produce_same_plan_as_whole_plans) {
   const traffic_plan first = plan_of(1, 5);
   const traffic_plan second = plan_of(3, 9);
   const traffic_plan third = plan_of(4, 2);
@@ -65,21 +65,21 @@
   EXPECT_EQ(watcher.plan()->routes, third.routes);
 }
 
-TEST(plan_edit_test, an_edit_of_a_plan_that_was_replaced_is_a_conflict) {
+TEST(plan_edit_test, edit_of_replaced_plan_is_conflict) {
   const traffic_plan first = plan_of(1, 5);
   const traffic_plan second = plan_of(3, 9);
-  const traffic_plan rival = plan_of(4, 2);
+  const traffic_plan competing = plan_of(4, 2);
   config_state_machine machine;
   apply(machine, edit_of(nullptr, first));
   apply(machine, edit_of(&first, second));
-  const change_result late = apply(machine, edit_of(&first, rival));
+  const change_result late = apply(machine, edit_of(&first, competing));
   EXPECT_EQ(late.status, change_status::conflict);
   EXPECT_FALSE(late.remedy.empty());
   EXPECT_EQ(machine.store().plan()->number, 3U);
   EXPECT_EQ(machine.store().revision(), 2U);
 }
 
-TEST(plan_edit_test, an_edit_to_an_older_plan_changes_nothing) {
+TEST(plan_edit_test, edit_to_older_plan_changes_nothing) {
   const traffic_plan first = plan_of(4, 5);
   const traffic_plan older = plan_of(2, 9);
   config_state_machine machine;
@@ -90,26 +90,26 @@
   EXPECT_EQ(machine.store().revision(), 1U);
 }
 
-TEST(plan_edit_test, an_edit_to_an_unsound_plan_is_invalid) {
+TEST(plan_edit_test, edit_to_invalid_plan_is_rejected) {
   const traffic_plan first = plan_of(1, 5);
-  traffic_plan unsound = plan_of(2, 5);
-  unsound.routes[3].split = {{"none", 1}};
+  traffic_plan invalid_plan = plan_of(2, 5);
+  invalid_plan.routes[3].split = {{"none", 1}};
   config_state_machine machine;
   apply(machine, edit_of(nullptr, first));
-  EXPECT_EQ(apply(machine, edit_of(&first, unsound)).status,
+  EXPECT_EQ(apply(machine, edit_of(&first, invalid_plan)).status,
             change_status::invalid);
-  change spoilt = edit_of(&first, plan_of(2, 6));
-  plan_edit other = *spoilt.edited_plan;
+  change corrupted = edit_of(&first, plan_of(2, 6));
+  plan_edit other = *corrupted.edited_plan;
   other.document = "{=0,1000000;";
-  spoilt.edited_plan = std::make_shared<const plan_edit>(other);
-  spoilt.id = "spoilt";
-  EXPECT_EQ(apply(machine, spoilt).status, change_status::invalid);
+  corrupted.edited_plan = std::make_shared<const plan_edit>(other);
+  corrupted.id = "spoilt";
+  EXPECT_EQ(apply(machine, corrupted).status, change_status::invalid);
   EXPECT_EQ(machine.store().plan()->number, 1U);
 }
 
 // Guards against log entries, and event loop iterations of the leader, whose
 // size and duration grow with the whole plan.
-TEST(plan_edit_test, a_small_change_of_a_large_plan_is_a_small_entry) {
+TEST(plan_edit_test, small_change_of_large_plan_is_small_entry) {
   constexpr std::size_t most_bytes = 2000;
   const traffic_plan before = plan_of(1, 6000);
   traffic_plan after = plan_of(2, 6000);
@@ -118,7 +118,7 @@
   EXPECT_LT(encode_change(edit_of(&before, after)).size(), most_bytes);
 }
 
-TEST(plan_edit_test, a_snapshot_holds_what_the_next_edit_is_made_from) {
+TEST(plan_edit_test, snapshot_contains_base_of_next_edit) {
   const traffic_plan first = plan_of(1, 50);
   const traffic_plan second = plan_of(2, 60);
   config_state_machine machine;
--- a/config/test/plan_operators.cc
+++ b/config/test/plan_operators.cc
@@ -36,7 +36,7 @@
   const std::string mark = valid ? "plan" : invalid_mark;
   out.document = mark + " " + std::to_string(next_id_++);
   sent_.push_back(std::make_shared<const traffic_plan>(std::move(out)));
-  top_ = std::max(top_, number);
+  highest_sent_ = std::max(highest_sent_, number);
   return sent_.back();
 }
 
@@ -46,19 +46,20 @@
       if (!sent_.empty()) return sent_[random_.below(sent_.size())];
       break;
     case 1:
-      return make_plan(1 + random_.below(top_ + 1), true);
+      return make_plan(1 + random_.below(highest_sent_ + 1), true);
     case 2:
-      return make_plan(top_ + 1, false);
+      return make_plan(highest_sent_ + 1, false);
     case 3:
-      if (top_ > 0) return make_plan(top_, true);
+      if (highest_sent_ > 0) return make_plan(highest_sent_, true);
       break;
     default:
       break;
   }
-  return make_plan(top_ + 1 + random_.below(3), true);
+  return make_plan(highest_sent_ + 1 + random_.below(3), true);
 }
 
-void plan_operators::act(const std::vector<control_machine*>& reachable) {
+void plan_operators::send_random(
+    const std::vector<control_machine*>& reachable) {
   if (reachable.empty()) return;
   const auto draw = [this, &reachable]() -> control_machine& {
     return *reachable[random_.below(reachable.size())];
@@ -67,53 +68,53 @@
     control_machine& from = draw();
     // Alternates instead of being drawn, so that the schedules of existing
     // seeds don't change.
-    const bool copy = ++reads_begun_ % 2 == 0;
+    const bool copy = ++reads_started_ % 2 == 0;
     if (copy) {
-      read_copy(from, *reachable[reads_begun_ / 2 % reachable.size()]);
+      read_copy(from, *reachable[reads_started_ / 2 % reachable.size()]);
     } else {
       read(from);
     }
     return;
   }
   const plan_ptr first = draw_plan();
-  const bool raced = random_.below(4) == 0;
+  const bool concurrent = random_.below(4) == 0;
   send(draw(), first);
-  if (!raced) return;
+  if (!concurrent) return;
   control_machine& second = draw();
   if (second.running()) send(second, make_plan(first->number, true));
 }
 
 void plan_operators::send_newest(control_machine& to) {
-  send(to, make_plan(top_ + 1, true));
+  send(to, make_plan(highest_sent_ + 1, true));
 }
 
 void plan_operators::send(control_machine& to, const plan_ptr& plan) {
   // The daemon validates a plan on receipt and again when it applies the log.
   // Half of the invalid plans skip the first check.
   const bool unchecked = random_.below(2) == 0;
-  if (!unchecked && !check_plan(*plan)) return;
+  if (!unchecked && !validate_plan(*plan)) return;
   if (!to.may_acknowledge()) return;
-  change asked;
-  asked.id = "order-" + std::to_string(next_id_++);
-  asked.operator_name = "operator";
+  change requested;
+  requested.id = "order-" + std::to_string(next_id_++);
+  requested.operator_name = "operator";
   // Alternates between edits, as the daemon proposes them, and whole plans, as
   // in logs of earlier versions.
   const bool edits = ++sends_ % 2 == 0;
   if (edits) {
-    asked.edited_plan = std::make_shared<const plan_edit>(
+    requested.edited_plan = std::make_shared<const plan_edit>(
         make_plan_edit(to.machine().plan().get(), *plan));
   } else {
-    asked.plan = plan;
+    requested.plan = plan;
   }
-  to.propose(asked, [this, plan, edits](const change_result& outcome) {
+  to.propose(requested, [this, plan, edits](const change_result& outcome) {
     // Another plan was committed first. The daemon would recreate the edit.
     if (edits && outcome.status == change_status::conflict) return;
-    answered(plan, outcome, edits);
+    check_outcome(plan, outcome, edits);
   });
 }
 
-void plan_operators::answered(const plan_ptr& plan,
-                              const change_result& outcome, bool edits) {
+void plan_operators::check_outcome(const plan_ptr& plan,
+                                   const change_result& outcome, bool edits) {
   const bool valid = !plan->document.starts_with(invalid_mark);
   const bool accepted = outcome.status == change_status::accepted;
   // An edit with a number that is not above the current one is accepted without
@@ -131,7 +132,7 @@
 }
 
 void plan_operators::read(control_machine& from) {
-  const plan_number least = acknowledged_;
+  const plan_number min_number = acknowledged_;
   control_machine* source = &from;
   const bool shipped =
       mode_ == read_mode::shipped || mode_ == read_mode::copy_at_once;
@@ -140,82 +141,84 @@
   const bool sure = leased ? from.leads() : from.host().core().is_leader();
   if (!sure) return;
   if (rounds) {
-    from.read([this, source, least] { show(*source, least); });
+    from.read([this, source, min_number] { check_read(*source, min_number); });
   } else {
-    show(from, least);
+    check_read(from, min_number);
   }
 }
 
 void plan_operators::read_copy(control_machine& leader,
                                const control_machine& at) {
   if (!leader.host().core().is_leader()) return;
-  const plan_number least = acknowledged_;
+  const plan_number min_number = acknowledged_;
   control_machine* source = &leader;
-  leader.read([this, source, least, &at] {
+  leader.read([this, source, min_number, &at] {
     if (mode_ == read_mode::copy_at_once) {
-      if (at.running()) show(at, least);
+      if (at.running()) check_read(at, min_number);
       return;
     }
-    copies_.push_back({&at, source->host().applied(), least});
-    if (at.running()) show_copies(at, at.host().applied());
+    pending_copies_.push_back({&at, source->host().applied(), min_number});
+    if (at.running()) check_ready_copies(at, at.host().applied());
   });
 }
 
-void plan_operators::show_copies(const control_machine& at,
-                                 consensus::log_index applied) {
-  std::vector<waiting_copy> ready;
-  std::erase_if(copies_, [&at, applied, &ready](const waiting_copy& it) {
-    if (it.at != &at || it.index > applied) return false;
-    ready.push_back(it);
-    return true;
-  });
-  for (const waiting_copy& it : ready) show(at, it.least);
+void plan_operators::check_ready_copies(const control_machine& at,
+                                        consensus::log_index applied) {
+  std::vector<pending_copy> ready;
+  std::erase_if(pending_copies_,
+                [&at, applied, &ready](const pending_copy& it) {
+                  if (it.at != &at || it.index > applied) return false;
+                  ready.push_back(it);
+                  return true;
+                });
+  for (const pending_copy& it : ready) check_read(at, it.min_number);
 }
 
-void plan_operators::show(const control_machine& from, plan_number least) {
+void plan_operators::check_read(const control_machine& from,
+                                plan_number min_number) {
   ++reads_;
   const plan_number number = number_in_force(from);
-  shown_ = std::max(shown_, number);
-  if (number >= least) return;
-  violation_(nothing_lost, from.name + " shows " + std::to_string(number) +
-                               " after " + std::to_string(least) +
+  highest_read_ = std::max(highest_read_, number);
+  if (number >= min_number) return;
+  violation_(no_plan_lost, from.name + " shows " + std::to_string(number) +
+                               " after " + std::to_string(min_number) +
                                " was acknowledged");
 }
 
-plan_number plan_operators::number_that_holds(const change& asked) const {
-  if (asked.plan) {
-    const bool valid = !asked.plan->document.starts_with(invalid_mark);
-    return valid ? asked.plan->number : 0;
+plan_number plan_operators::number_in_force_after(const change& next) const {
+  if (next.plan) {
+    const bool valid = !next.plan->document.starts_with(invalid_mark);
+    return valid ? next.plan->number : 0;
   }
-  if (!asked.edited_plan || asked.edited_plan->base != highest_) return 0;
-  for (const route& it : asked.edited_plan->delta.written) {
+  if (!next.edited_plan || next.edited_plan->base != highest_) return 0;
+  for (const route& it : next.edited_plan->delta.written) {
     if (it.split.front().service == unknown_service) return 0;
   }
-  return asked.edited_plan->delta.number;
+  return next.edited_plan->delta.number;
 }
 
 void plan_operators::observe_applied(const control_machine& by,
                                      const consensus::entry& committed) {
   const auto [it, added] = log_.emplace(committed.index, committed.data);
   if (!added && it->second != committed.data) {
-    violation_(same_log, by.name + " applied another entry at " +
-                             std::to_string(committed.index));
+    violation_(identical_logs, by.name + " applied another entry at " +
+                                   std::to_string(committed.index));
     return;
   }
   if (added) {
-    const result<change> asked = change_from(*parse_json(committed.data));
-    highest_ = std::max(highest_, number_that_holds(*asked));
+    const result<change> requested = change_from(*parse_json(committed.data));
+    highest_ = std::max(highest_, number_in_force_after(*requested));
     highest_at_[committed.index] = highest_;
   }
   const plan_number number = number_in_force(by);
   if (number != highest_at_[committed.index]) {
-    violation_(highest_number_holds,
+    violation_(highest_number_in_force,
                by.name + " holds " + std::to_string(number) + " at index " +
                    std::to_string(committed.index) + ", not " +
                    std::to_string(highest_at_[committed.index]));
   }
   observe_in_force(by);
-  show_copies(by, committed.index);
+  check_ready_copies(by, committed.index);
 }
 
 void plan_operators::observe_in_force(const control_machine& by) {
@@ -226,7 +229,7 @@
   }
   const auto [it, added] = contents_.emplace(plan->number, plan->document);
   if (!added && it->second != plan->document) {
-    violation_(one_content,
+    violation_(unique_content,
                by.name + " holds " + plan->document + " under number " +
                    std::to_string(plan->number) + ", not " + it->second);
   }
--- a/config/test/plan_operators.h
+++ b/config/test/plan_operators.h
@@ -16,15 +16,16 @@
 namespace trestlepost::config::test {
 
 /// Receives violations: the property, and a description of what was observed.
-using report =
+using violation_handler =
     std::function<void(const std::string& property, const std::string& what)>;
 
 // The checked properties of plans, as named in violations.
-inline constexpr char highest_number_holds[] = "the highest number is in force";
-inline constexpr char one_content[] = "one content per number";
-inline constexpr char nothing_lost[] = "no acknowledged plan is lost";
+inline constexpr char highest_number_in_force[] =
+    "the highest number is in force";
+inline constexpr char unique_content[] = "one content per number";
+inline constexpr char no_plan_lost[] = "no acknowledged plan is lost";
 inline constexpr char no_invalid_plan[] = "no invalid plan is in force";
-inline constexpr char same_log[] = "all machines have the same log";
+inline constexpr char identical_logs[] = "all machines have the same log";
 
 /// How a read is confirmed. The production code (`shipped`) requires both the
 /// leader's lease and a round trip to a quorum. The other modes are faults or
@@ -43,12 +44,13 @@
 /// Submits plans, reads them, and reports violations of the properties.
 class plan_operators {
  public:
-  plan_operators(random_source& random, read_mode mode, report violation)
+  plan_operators(random_source& random, read_mode mode,
+                 violation_handler violation)
       : random_(random), mode_(mode), violation_(std::move(violation)) {}
 
   /// Sends a read or a plan, or two plans with the same number, to random
   /// machines of `reachable`.
-  void act(const std::vector<control_machine*>& reachable);
+  void send_random(const std::vector<control_machine*>& reachable);
   /// Sends a plan with a higher number than all plans so far.
   void send_newest(control_machine& to);
   void read(control_machine& from);
@@ -65,42 +67,44 @@
   std::size_t acknowledgements() const { return acknowledgements_; }
   std::size_t reads() const { return reads_; }
   /// The highest number that a confirmed read has returned.
-  plan_number shown() const { return shown_; }
+  plan_number highest_read() const { return highest_read_; }
   /// Called when a plan with a higher number than all before is acknowledged.
   std::function<void()> on_acknowledged;
 
  private:
-  /// A read that is answered from the copy of `at` once it has applied `index`;
-  /// it must return `least` or a higher number.
-  struct waiting_copy {
+  /// A read that is answered from the copy of `at` once it has applied
+  /// `index`; it must return `min_number` or a higher number.
+  struct pending_copy {
     const control_machine* at = nullptr;
     consensus::log_index index = 0;
-    plan_number least = 0;
+    plan_number min_number = 0;
   };
 
-  void show_copies(const control_machine& at, consensus::log_index applied);
+  void check_ready_copies(const control_machine& at,
+                          consensus::log_index applied);
   plan_ptr make_plan(plan_number number, bool valid);
   plan_ptr draw_plan();
   void send(control_machine& to, const plan_ptr& plan);
-  void answered(const plan_ptr& plan, const change_result& outcome, bool edits);
-  /// The number of the plan in `asked` if the plan comes into force when it is
-  /// applied next, else 0.
-  plan_number number_that_holds(const change& asked) const;
-  void show(const control_machine& from, plan_number least);
+  void check_outcome(const plan_ptr& plan, const change_result& outcome,
+                     bool edits);
+  /// The number of the plan in `next` if the plan comes into force when it
+  /// is applied next, else 0.
+  plan_number number_in_force_after(const change& next) const;
+  void check_read(const control_machine& from, plan_number min_number);
 
   random_source& random_;
   read_mode mode_;
-  report violation_;
+  violation_handler violation_;
   std::vector<plan_ptr> sent_;
-  plan_number top_ = 0;
+  plan_number highest_sent_ = 0;
   std::uint64_t next_id_ = 1;
   plan_number acknowledged_ = 0;
-  plan_number shown_ = 0;
+  plan_number highest_read_ = 0;
   std::size_t acknowledgements_ = 0;
   std::size_t reads_ = 0;
-  std::size_t reads_begun_ = 0;
+  std::size_t reads_started_ = 0;
   std::size_t sends_ = 0;
-  std::vector<waiting_copy> copies_;
+  std::vector<pending_copy> pending_copies_;
   std::map<plan_number, std::string> contents_;
   std::map<consensus::log_index, std::string> log_;
   std::map<consensus::log_index, plan_number> highest_at_;
--- a/config/test/route_list-test.cc
+++ b/config/test/route_list-test.cc
@@ -29,7 +29,7 @@
   return out;
 }
 
-RC_GTEST_PROP(route_list_test, routes_survive_their_json_in_order, ()) {
+RC_GTEST_PROP(route_list_test, json_round_trip_keeps_routes_and_order, ()) {
   std::vector<route> routes;
   const int count = *rc::gen::inRange(0, 12);
   for (int n = 0; n < count; ++n) routes.push_back(any_route(n));
@@ -38,7 +38,7 @@
   RC_ASSERT(routes_from(*read) == routes);
 }
 
-TEST(route_list_test, what_routes_share_is_written_once) {
+TEST(route_list_test, shared_settings_are_written_once) {
   constexpr int count = 1000;
   constexpr std::size_t bytes_per_route = 40;
   std::vector<route> routes;
@@ -54,7 +54,7 @@
   EXPECT_LT(to_text(to_json(routes)).size(), count * bytes_per_route);
 }
 
-TEST(route_list_test, a_list_of_an_earlier_version_is_read) {
+TEST(route_list_test, plain_array_of_earlier_versions_is_read) {
   route one;
   one.name = "r";
   one.host = "a.example";
@@ -65,7 +65,7 @@
   EXPECT_EQ(routes_from(list), std::vector<route>{one});
 }
 
-TEST(route_list_test, routes_that_are_cut_off_or_like_none_are_left_out) {
+TEST(route_list_test, malformed_routes_are_skipped) {
   for (const char* it : {"7", "null", "{}", R"({"like":[{}],"at":7})",
                          R"({"like":[{}],"at":[1,"r","a","/x/"]})",
                          R"({"like":[{}],"at":[0,"r","a"]})",
--- a/config/test/selector-test.cc
+++ b/config/test/selector-test.cc
@@ -12,7 +12,7 @@
   bool expected;
 };
 
-TEST(selector_test, matches_as_written) {
+TEST(selector_test, matches_labels_by_operator) {
   const label_map hazard{{"cargo", "hazard"}, {"line", "me-pa"}};
   const selector_case cases[] = {
       {"{}", {}, true},
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(selector_test, refuses_what_it_does_not_understand) {
+TEST(selector_test, rejects_invalid_conditions) {
   for (const char* it :
        {R"([])", R"({"a": 1})", R"({"a": []})", R"({"a": {"like": "x"}})",
         R"({"a": {"exists": "yes"}})"}) {
--- a/config/test/state_machine-test.cc
+++ b/config/test/state_machine-test.cc
@@ -34,22 +34,22 @@
   return out;
 }
 
-class driver {
+class state_machine_fixture {
  public:
-  explicit driver(state_limits limits = {}) : machine(limits) {}
+  explicit state_machine_fixture(state_limits limits = {}) : machine(limits) {}
 
-  change_result apply(const change& asked) {
+  change_result apply(const change& requested) {
     consensus::entry entry;
-    entry.data = to_text(to_json(asked));
+    entry.data = to_text(to_json(requested));
     machine.apply(entry);
-    return machine.result_of(asked.id).value_or(change_result());
+    return machine.result_of(requested.id).value_or(change_result());
   }
 
   config_state_machine machine;
 };
 
-TEST(config_state_machine_test, of_two_changes_with_one_base_one_wins) {
-  driver it;
+TEST(config_state_machine_test, second_change_of_same_base_is_conflict) {
+  state_machine_fixture it;
   it.apply(change_of("c1", {region_edit("isola")}));
   const change_result first =
       it.apply(change_of("c2", {region_edit("isola", 1, "a")}, "anna"));
@@ -69,8 +69,8 @@
   return out;
 }
 
-TEST(config_state_machine_test, a_held_request_stays_so_until_it_is_released) {
-  driver it;
+TEST(config_state_machine_test, request_stays_held_until_released) {
+  state_machine_fixture it;
   it.apply(hold_of("h1", "f", true));
   it.apply(hold_of("h2", "g", true));
   const change_result again = it.apply(hold_of("h3", "f", true));
@@ -89,17 +89,17 @@
   EXPECT_TRUE(it.machine.store().held_requests().contains("g"));
 }
 
-TEST(config_state_machine_test, watchers_learn_which_requests_are_held) {
-  driver it;
+TEST(config_state_machine_test, watchers_receive_held_requests) {
+  state_machine_fixture it;
   it.apply(change_of("c1", {region_edit("isola")}));
   object_store behind = it.machine.store();
   it.apply(hold_of("h1", "f", true));
   it.apply(hold_of("h2", "g", true));
   it.apply(hold_of("h3", "f", false));
-  const result<watch_update> told =
+  const result<watch_update> sent =
       watch_update_from(to_json(it.machine.update_since(behind.revision())));
-  ASSERT_TRUE(told);
-  ASSERT_TRUE(apply_update(behind, *told));
+  ASSERT_TRUE(sent);
+  ASSERT_TRUE(apply_update(behind, *sent));
   EXPECT_FALSE(behind.held_requests().contains("f"));
   EXPECT_TRUE(behind.held_requests().contains("g"));
   object_store fresh;
@@ -110,24 +110,24 @@
   EXPECT_EQ(fresh.held_requests().size(), 1U);
 }
 
-TEST(config_state_machine_test, of_too_many_held_requests_the_oldest_goes) {
+TEST(config_state_machine_test, oldest_held_request_is_dropped_at_limit) {
   object_store store;
-  for (std::size_t n = 0; n <= most_held_requests; ++n) {
+  for (std::size_t n = 0; n <= max_held_requests; ++n) {
     const request_hold one{std::to_string(n), true, "s", ""};
-    store.set_held(one, wall_time(), n + 1);
+    store.set_hold(one, wall_time(), n + 1);
   }
-  EXPECT_EQ(store.held_requests().size(), most_held_requests);
+  EXPECT_EQ(store.held_requests().size(), max_held_requests);
   EXPECT_FALSE(store.held_requests().contains("0"));
   EXPECT_TRUE(store.held_requests().contains("1"));
 }
 
-TEST(config_state_machine_test, a_resent_change_gets_its_first_result) {
-  driver it;
+TEST(config_state_machine_test, resent_change_returns_first_result) {
+  state_machine_fixture it;
   it.apply(change_of("c1", {region_edit("isola")}));
-  const change asked = change_of("c2", {region_edit("isola", 1, "a")});
-  const change_result first = it.apply(asked);
+  const change requested = change_of("c2", {region_edit("isola", 1, "a")});
+  const change_result first = it.apply(requested);
   it.apply(change_of("c3", {region_edit("isola", 2, "b")}));
-  const change_result again = it.apply(asked);
+  const change_result again = it.apply(requested);
   EXPECT_EQ(again.status, change_status::accepted);
   EXPECT_EQ(again.revision, first.revision);
   EXPECT_EQ(it.machine.store().revision(), 3U);
@@ -136,18 +136,18 @@
   EXPECT_EQ(restored.result_of("c2")->revision, first.revision);
 }
 
-TEST(config_state_machine_test, a_forgotten_change_id_is_caught) {
+TEST(config_state_machine_test, forgotten_change_id_applies_change_twice) {
   state_limits broken;
   broken.forget_change_ids = true;
-  driver it(broken);
-  const change asked = change_of("c1", {region_edit("isola")});
-  it.apply(asked);
-  it.apply(asked);
+  state_machine_fixture it(broken);
+  const change requested = change_of("c1", {region_edit("isola")});
+  it.apply(requested);
+  it.apply(requested);
   EXPECT_EQ(it.machine.store().revision(), 2U) << "applied twice";
 }
 
-TEST(config_state_machine_test, one_id_for_two_changes_is_refused) {
-  driver it;
+TEST(config_state_machine_test, reused_change_id_is_rejected) {
+  state_machine_fixture it;
   it.apply(change_of("c1", {region_edit("isola")}));
   it.apply(change_of("c1", {region_edit("golfo")}));
   EXPECT_EQ(it.machine.store().revision(), 1U);
@@ -159,7 +159,7 @@
   edit one;
 };
 
-TEST(config_state_machine_test, a_change_is_checked_whole_or_not_applied) {
+TEST(config_state_machine_test, invalid_change_is_not_applied_in_part) {
   const invalid_case cases[] = {
       {"dangling service", put(object_kind::endpoint,
                                R"({"name":"e","service":"none","region":"isola",
@@ -175,7 +175,7 @@
       {"removed twice", {object_kind::caller, "nobody", json(), std::nullopt}},
   };
   for (const invalid_case& it : cases) {
-    driver d;
+    state_machine_fixture d;
     d.apply(change_of(
         "c0",
         {region_edit("isola"), put(object_kind::service, R"({"name":"s"})"),
@@ -192,8 +192,8 @@
   }
 }
 
-TEST(config_state_machine_test, a_selector_that_matches_nothing_is_reported) {
-  driver it;
+TEST(config_state_machine_test, selector_without_match_is_a_warning) {
+  state_machine_fixture it;
   const change_result outcome = it.apply(
       change_of("c1", {region_edit("isola"),
                        put(object_kind::placement_rule,
@@ -202,11 +202,12 @@
   EXPECT_FALSE(outcome.warnings.empty());
 }
 
-RC_GTEST_PROP(config_watch_test, a_watcher_never_goes_back_and_catches_up,
+RC_GTEST_PROP(config_watch_test,
+              watcher_revision_never_decreases_and_catches_up,
               (std::vector<std::uint8_t> polls)) {
   state_limits limits;
   limits.history = 3;
-  driver it(limits);
+  state_machine_fixture it(limits);
   object_store watcher;
   std::vector<watch_update> late;
   int n = 0;
@@ -229,8 +230,8 @@
             to_text(it.machine.store().to_json()));
 }
 
-TEST(config_state_machine_test, a_snapshot_restores_everything) {
-  driver it;
+TEST(config_state_machine_test, snapshot_restores_complete_state) {
+  state_machine_fixture it;
   for (int i = 0; i < 20; ++i) {
     it.apply(change_of("c" + std::to_string(i), {region_edit("isola")}));
   }
--- a/config/test/traffic_plan-test.cc
+++ b/config/test/traffic_plan-test.cc
@@ -42,10 +42,10 @@
   return out;
 }
 
-consensus::entry entry_of(const change& asked) {
+consensus::entry entry_of(const change& requested) {
   consensus::entry out;
   out.type = consensus::entry_type::command;
-  out.data = to_text(to_json(asked));
+  out.data = to_text(to_json(requested));
   return out;
 }
 
@@ -65,10 +65,10 @@
   return out;
 }
 
-TEST(traffic_plan_test, a_plan_survives_its_json) {
+TEST(traffic_plan_test, json_round_trip_keeps_plan) {
   const traffic_plan plan = make_plan(7);
   const result<traffic_plan> read =
-      traffic_plan_from(to_json(plan, plan_form::whole));
+      traffic_plan_from(to_json(plan, plan_form::full));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->number, 7U);
   EXPECT_EQ(read->routes, plan.routes);
@@ -79,13 +79,13 @@
                   ->document.empty());
 }
 
-struct bad_plan {
+struct invalid_plan_case {
   const char* what;
-  std::function<void(traffic_plan&)> spoil;
+  std::function<void(traffic_plan&)> modify;
 };
 
-TEST(traffic_plan_test, unsound_plans_are_refused_with_a_remedy) {
-  const std::vector<bad_plan> table{
+TEST(traffic_plan_test, invalid_plans_are_rejected_with_remedy) {
+  const std::vector<invalid_plan_case> table{
       {"unknown service",
        [](traffic_plan& it) {
          it.routes[0].split = {{"none", 1}};
@@ -106,17 +106,17 @@
       {"service twice",
        [](traffic_plan& it) { it.services.push_back(it.services[0]); }},
   };
-  EXPECT_TRUE(check_plan(make_plan(1)));
-  for (const bad_plan& it : table) {
+  EXPECT_TRUE(validate_plan(make_plan(1)));
+  for (const invalid_plan_case& it : table) {
     traffic_plan plan = make_plan(1);
-    it.spoil(plan);
-    const result<void> checked = check_plan(plan);
+    it.modify(plan);
+    const result<void> checked = validate_plan(plan);
     ASSERT_FALSE(checked) << it.what;
     EXPECT_FALSE(checked.error().remedy.empty()) << it.what;
   }
 }
 
-TEST(traffic_plan_test, an_unsound_plan_is_refused_even_when_it_is_old) {
+TEST(traffic_plan_test, invalid_plan_with_old_number_is_rejected) {
   config_state_machine machine;
   machine.apply(entry_of(plan_change(make_plan(7), "a")));
   traffic_plan old = make_plan(3);
@@ -126,7 +126,7 @@
   EXPECT_EQ(machine.store().plan()->number, 7U);
 }
 
-TEST(traffic_plan_test, a_number_that_is_not_above_changes_nothing) {
+TEST(traffic_plan_test, same_or_lower_number_changes_nothing) {
   config_state_machine machine;
   machine.apply(entry_of(plan_change(make_plan(7), "a")));
   traffic_plan other = make_plan(7);
@@ -139,7 +139,7 @@
   EXPECT_EQ(machine.store().plan()->routes[0].host, "a.example");
 }
 
-TEST(traffic_plan_test, plans_and_evacuations_survive_a_snapshot) {
+TEST(traffic_plan_test, snapshot_restores_plan_and_evacuations) {
   config_state_machine machine;
   machine.apply(entry_of(plan_change(make_plan(7), "a")));
   machine.apply(entry_of(evacuation_change("z1", true, "b")));
@@ -152,10 +152,10 @@
   machine.apply(entry_of(evacuation_change("z1", false, "c")));
   restored.load(machine.save());
   EXPECT_TRUE(restored.store().evacuated_zones().empty());
-  EXPECT_EQ(restored.store().given_back().at("z1"), 3U);
+  EXPECT_EQ(restored.store().ended_evacuations().at("z1"), 3U);
 }
 
-RC_GTEST_PROP(traffic_plan_test, a_watcher_ends_with_the_leaders_plan, ()) {
+RC_GTEST_PROP(traffic_plan_test, watcher_converges_to_leader_state, ()) {
   config_state_machine machine;
   object_store watcher;
   int n = 0;
@@ -183,7 +183,7 @@
                 .has_value());
   RC_ASSERT(watcher.revision() == machine.store().revision());
   RC_ASSERT(watcher.evacuated_zones() == machine.store().evacuated_zones());
-  RC_ASSERT(watcher.given_back() == machine.store().given_back());
+  RC_ASSERT(watcher.ended_evacuations() == machine.store().ended_evacuations());
   RC_ASSERT(!watcher.plan() == !machine.store().plan());
   if (watcher.plan()) {
     RC_ASSERT(watcher.plan()->number == machine.store().plan()->number);
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -67,7 +67,7 @@
   evacuated_ = evacuated;
   // Not from `evacuated_`: a node that was cut off or stood still may get both
   // changes of an evacuation at once.
-  for (const auto& [zone, revision] : context_.store.given_back()) {
+  for (const auto& [zone, revision] : context_.store.ended_evacuations()) {
     const bool news = warmth_.given_back(zone, revision, context_.clock.now());
     if (!news) continue;
     log_event(log_level::info, "zone-given-back", {{"zone", zone}});
--- a/gateway/src/entry_handler.cc
+++ b/gateway/src/entry_handler.cc
@@ -100,7 +100,7 @@
       own::bearer_token(exchange.header("Authorization"));
   std::shared_ptr<const config::caller> caller;
   if (!token.empty()) {
-    caller = context_.store.caller_with_token(sha256_hex(token));
+    caller = context_.store.find_caller_by_token(sha256_hex(token));
   }
   if (caller) return caller;
   return fail(
--- a/node/src/audit_search.h
+++ b/node/src/audit_search.h
@@ -11,7 +11,7 @@
 /// The records that match `filter`, newest first, as {"records": [...]}. The
 /// filter's optional fields are "operator", "name" and "kind" of a changed
 /// object, "since_ms" and "until_ms" (Unix time), and "limit".
-json audit_matching(const std::deque<config::audit_record>& all,
-                    const json& filter);
+json search_audit(const std::deque<config::audit_record>& all,
+                  const json& filter);
 
 }  // namespace trestlepost::node
--- a/node/src/config_watchers.cc
+++ b/node/src/config_watchers.cc
@@ -13,119 +13,120 @@
 using std::chrono::milliseconds;
 
 // A watcher that hasn't polled for this time is removed.
-constexpr milliseconds watcher_lifetime{5000};
+constexpr milliseconds watcher_expiry{5000};
 // Three poll intervals of an up-to-date watcher. One that hasn't polled for
 // longer has stopped or is partitioned, and confirmations don't wait for it.
-constexpr milliseconds heard_lifetime{1500};
+constexpr milliseconds active_window{1500};
 constexpr char update_method[] = "config.update";
 
 }  // namespace
 
-void config_watchers::polled(const watcher_poll& poll) {
+void config_watchers::handle_poll(const watcher_poll& poll) {
   const monotonic_time now = context_.clock.now();
   const auto [known, is_new] =
-      all_.try_emplace(poll.name, watcher{watcher_ways(now)});
+      watchers_.try_emplace(poll.name, watcher{watcher_paths(now)});
   watcher& it = known->second;
-  it.seen_at = now;
-  if (poll.missed) it.delivery.missed();
+  it.polled_at = now;
+  if (poll.missed) it.delivery.discard_sent();
   // A forwarded poll can arrive after a newer one and report an older revision.
   const bool late = poll.sequence < it.sequence;
-  const std::string address = late ? it.ways.address() : poll.address;
-  if (address != it.ways.address()) it.delivery.missed();
-  it.ways.polled(address, poll.via, now);
-  if (!late) take_newest(it, poll);
-  note_confirmed();
-  send_due(it);
+  const std::string address = late ? it.paths.address() : poll.address;
+  if (address != it.paths.address()) it.delivery.discard_sent();
+  it.paths.record_poll(address, poll.via, now);
+  if (!late) apply_poll(it, poll);
+  report_confirmed();
+  send_pending(it);
 }
 
-void config_watchers::take_newest(watcher& it, const watcher_poll& poll) {
+void config_watchers::apply_poll(watcher& it, const watcher_poll& poll) {
   it.sequence = poll.sequence;
-  it.delivery.holds(poll.held, it.seen_at);
+  it.delivery.acknowledge(poll.revision, it.polled_at);
 }
 
-config::revision_number config_watchers::held_by_all() const {
-  const monotonic_time oldest = context_.clock.now() - heard_lifetime;
+config::revision_number config_watchers::lowest_revision() const {
+  const monotonic_time oldest = context_.clock.now() - active_window;
   config::revision_number out = machine_.store().revision();
-  for (const auto& [name, it] : all_) {
-    if (it.seen_at >= oldest) out = std::min(out, it.delivery.held());
+  for (const auto& [name, it] : watchers_) {
+    if (it.polled_at >= oldest) out = std::min(out, it.delivery.acknowledged());
   }
   return out;
 }
 
-void config_watchers::note_confirmed() {
+void config_watchers::report_confirmed() {
   for (const config::confirmed_revision& it :
-       confirmations_.confirmed(held_by_all(), context_.clock.now())) {
-    on_confirmed(it.taken);
+       confirmations_.confirm(lowest_revision(), context_.clock.now())) {
+    on_confirmed(it.latency);
     log_event(log_level::info, "configuration-confirmed",
               {{"revision", std::to_string(it.revision)},
-               {"watchers", std::to_string(all_.size())},
-               {"ms", std::to_string(it.taken.count())}});
+               {"watchers", std::to_string(watchers_.size())},
+               {"ms", std::to_string(it.latency.count())}});
   }
 }
 
-void config_watchers::connection_lost(const std::string& address) {
+void config_watchers::handle_connection_lost(const std::string& address) {
   const monotonic_time now = context_.clock.now();
-  for (auto& [name, it] : all_) {
-    const std::vector<watcher_ways::way> ways =
-        it.ways.after_loss(address, now);
-    if (ways.empty()) continue;
-    it.delivery.missed();
-    send_due_by(it, ways);
+  for (auto& [name, it] : watchers_) {
+    const std::vector<watcher_paths::path> paths =
+        it.paths.after_loss(address, now);
+    if (paths.empty()) continue;
+    it.delivery.discard_sent();
+    send_pending_over(it, paths);
   }
 }
 
-void config_watchers::lead_in(consensus::term_number term) {
+void config_watchers::start_term(consensus::term_number term) {
   if (term == term_) return;
   term_ = term;
-  all_.clear();
+  watchers_.clear();
   confirmations_.clear();
 }
 
-void config_watchers::push() {
+void config_watchers::push_updates() {
   const monotonic_time now = context_.clock.now();
-  confirmations_.decided(machine_.store().revision(), now);
-  std::erase_if(all_, [now](const auto& it) {
-    return it.second.seen_at + watcher_lifetime < now;
+  confirmations_.record_decision(machine_.store().revision(), now);
+  std::erase_if(watchers_, [now](const auto& it) {
+    return it.second.polled_at + watcher_expiry < now;
   });
-  const std::uint64_t before = contents_sent_;
-  for (auto& [name, it] : all_) send_due(it);
+  const std::uint64_t before = updates_sent_;
+  for (auto& [name, it] : watchers_) send_pending(it);
   const milliseconds taken =
       std::chrono::duration_cast<milliseconds>(context_.clock.now() - now);
   log_event(log_level::info, "configuration-pushed",
             {{"revision", std::to_string(machine_.store().revision())},
-             {"watchers", std::to_string(contents_sent_ - before)},
+             {"watchers", std::to_string(updates_sent_ - before)},
              {"ms", std::to_string(taken.count())}});
 }
 
-void config_watchers::send_due(watcher& to) {
+void config_watchers::send_pending(watcher& to) {
   const monotonic_time now = context_.clock.now();
-  if (!to.ways.known(now)) return;
-  const bool repeats = to.delivery.is_repeat(now);
-  send_due_by(to, repeats ? to.ways.all(now)
-                          : std::vector<watcher_ways::way>{to.ways.best(now)});
+  if (!to.paths.is_known(now)) return;
+  const bool repeats = to.delivery.is_retransmission(now);
+  send_pending_over(
+      to, repeats ? to.paths.candidates(now)
+                  : std::vector<watcher_paths::path>{to.paths.preferred(now)});
 }
 
-void config_watchers::send_due_by(watcher& to,
-                                  const std::vector<watcher_ways::way>& ways) {
+void config_watchers::send_pending_over(
+    watcher& to, const std::vector<watcher_paths::path>& paths) {
   const monotonic_time now = context_.clock.now();
   const config::revision_number newest = machine_.store().revision();
   const std::optional<config::revision_number> from =
-      to.delivery.due(newest, now);
+      to.delivery.pending_from(newest, now);
   if (!from) return;
-  for (const watcher_ways::way it : ways) send(to, it, *from);
-  to.delivery.sent(newest, now);
-  contents_sent_ += ways.size();
+  for (const watcher_paths::path it : paths) send(to, it, *from);
+  to.delivery.record_sent(newest, now);
+  updates_sent_ += paths.size();
 }
 
-void config_watchers::send(const watcher& to, watcher_ways::way by,
+void config_watchers::send(const watcher& to, watcher_paths::path by,
                            config::revision_number from) {
-  if (by == watcher_ways::way::direct) {
-    context_.links.send(to.ways.address(), packed(from));
+  if (by == watcher_paths::path::direct) {
+    context_.links.send(to.paths.address(), packed_update(from));
     return;
   }
   json message = make_message(from);
-  message["for"] = to.ways.address();
-  context_.links.send(to.ways.via(), update_method, message);
+  message["for"] = to.paths.address();
+  context_.links.send(to.paths.via(), update_method, message);
 }
 
 json config_watchers::make_message(config::revision_number from) const {
@@ -137,16 +138,16 @@
   return out;
 }
 
-const transport::packed_notification& config_watchers::packed(
+const transport::packed_notification& config_watchers::packed_update(
     config::revision_number from) {
   const config::revision_number newest = machine_.store().revision();
-  if (packed_to_ != newest) packed_.clear();
-  packed_to_ = newest;
-  const auto known = packed_.find(from);
-  if (known != packed_.end()) return known->second;
+  if (packed_revision_ != newest) packed_updates_.clear();
+  packed_revision_ = newest;
+  const auto known = packed_updates_.find(from);
+  if (known != packed_updates_.end()) return known->second;
   transport::packed_notification made =
       transport::pack_notification(update_method, make_message(from));
-  return packed_.emplace(from, std::move(made)).first->second;
+  return packed_updates_.emplace(from, std::move(made)).first->second;
 }
 
 }  // namespace trestlepost::node
--- a/node/src/config_watchers.h
+++ b/node/src/config_watchers.h
@@ -26,7 +26,7 @@
   std::string via;
   /// Increases with each poll, also across restarts.
   std::uint64_t sequence = 0;
-  config::revision_number held = 0;  // that the watcher has
+  config::revision_number revision = 0;  // that the watcher has
   /// Whether the watcher could not apply an update that it was sent.
   bool missed = false;
 };
@@ -43,60 +43,63 @@
       : context_(context), machine_(machine) {}
 
   /// Processes a poll and sends the watcher the changes that it lacks.
-  void polled(const watcher_poll& poll);
+  void handle_poll(const watcher_poll& poll);
   /// Sends the changes that they lack to all watchers. Call it after a change.
-  void push();
+  void push_updates();
   /// Handles the loss of the connection to the peer at `address`: immediately
   /// sends the updates in flight on it again, instead of after a timeout.
-  void connection_lost(const std::string& address);
+  void handle_connection_lost(const std::string& address);
   /// Records that this node leads in `term`. In a new term all watchers and
   /// what they were sent are forgotten; a lease that lapses briefly within a
   /// term has no effect.
-  void lead_in(consensus::term_number term);
+  void start_term(consensus::term_number term);
 
   /// The lowest revision among the watchers that polled recently; the newest
   /// revision if there are none.
-  config::revision_number held_by_all() const;
+  config::revision_number lowest_revision() const;
   /// Called when all watchers have a revision, with the time since it was
   /// decided on this node.
   std::function<void(std::chrono::milliseconds)> on_confirmed =
       [](std::chrono::milliseconds) {};
 
   /// Number of messages with changes or a whole configuration that were sent.
-  std::uint64_t contents_sent() const { return contents_sent_; }
+  std::uint64_t updates_sent() const { return updates_sent_; }
 
  private:
   struct watcher {
-    watcher_ways ways;
+    watcher_paths paths;
     std::uint64_t sequence = 0;
-    monotonic_time seen_at{};
-    config::content_delivery delivery{};
+    monotonic_time polled_at{};
+    config::delivery_tracker delivery{};
   };
 
-  void take_newest(watcher& it, const watcher_poll& poll);
-  void note_confirmed();
+  void apply_poll(watcher& it, const watcher_poll& poll);
+  void report_confirmed();
   /// Sends the watcher the changes that it lacks, over the preferred path, or
   /// over all paths if they were sent before and count as lost.
-  void send_due(watcher& to);
-  /// Sends the watcher the changes that it lacks, over each of `ways`.
-  void send_due_by(watcher& to, const std::vector<watcher_ways::way>& ways);
-  void send(const watcher& to, watcher_ways::way by,
+  void send_pending(watcher& to);
+  /// Sends the watcher the changes that it lacks, over each of `paths`.
+  void send_pending_over(watcher& to,
+                         const std::vector<watcher_paths::path>& paths);
+  void send(const watcher& to, watcher_paths::path by,
             config::revision_number from);
   json make_message(config::revision_number from) const;
   /// The compressed message with the changes after `from`, from the cache if
   /// possible.
-  const transport::packed_notification& packed(config::revision_number from);
+  const transport::packed_notification& packed_update(
+      config::revision_number from);
 
   node_context& context_;
   const config::config_state_machine& machine_;
-  std::map<std::string, watcher> all_;  // by name
+  std::map<std::string, watcher> watchers_;  // by name
   config::confirmation_tracker confirmations_;
-  /// Messages that update to `packed_to_`, by the revision that they start
-  /// from.
-  std::map<config::revision_number, transport::packed_notification> packed_;
-  config::revision_number packed_to_ = 0;
+  /// Messages that update to `packed_revision_`, by the revision that they
+  /// start from.
+  std::map<config::revision_number, transport::packed_notification>
+      packed_updates_;
+  config::revision_number packed_revision_ = 0;
   consensus::term_number term_ = 0;
-  std::uint64_t contents_sent_ = 0;
+  std::uint64_t updates_sent_ = 0;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -145,7 +145,7 @@
         growth_.heard(*host_, context_.clock.now(), in->from,
                       text_of(params, "from_address"));
         host_->receive(context_.clock.now(), *in);
-        orders_.finish_reads();
+        orders_.complete_reads();
       });
   orders_.start();
   peers.add_notification(
@@ -235,12 +235,12 @@
     // It must tell who it is before the book can be made for it.
     answer["stranger"] = true;
   } else if (leads()) {
-    watchers_.lead_in(host_->core().term());
+    watchers_.start_term(host_->core().term());
     // First the content, so that it is in force when the answer arrives.
     const json& sign = alive.isObject() ? alive : beat;
-    watchers_.polled({asker, address, via, number_of(sign, "sequence"),
-                      number_of(params, "revision"),
-                      flag_of(params, "missed")});
+    watchers_.handle_poll({asker, address, via, number_of(sign, "sequence"),
+                           number_of(params, "revision"),
+                           flag_of(params, "missed")});
     orders_.acknowledge_confirmed();
     answer["confirmed"] = true;
     answer["update"] =
@@ -299,13 +299,13 @@
       answer(config::to_json(record.outcome));
     }
   }
-  if (leads()) watchers_.push();
+  if (leads()) watchers_.push_updates();
 }
 
 void control_service::propose(config::change asked,
                               const answer_function& answer) {
   const std::optional<config::change_result> known =
-      machine_.known_result(asked);
+      machine_.first_result(asked);
   if (known && leads()) {
     answer(config::to_json(*known));
     return;
@@ -332,7 +332,7 @@
   const monotonic_time now = context_.clock.now();
   // The watchers have to find a new leader first.
   const bool known = since && *since + acquaintance_time <= now;
-  return known && watchers_.held_by_all() >= revision;
+  return known && watchers_.lowest_revision() >= revision;
 }
 
 result<json> control_service::recover() {
@@ -350,7 +350,7 @@
 void control_service::read_audit(const json& filter,
                                  const answer_function& answer) {
   const result<void> asked = confirm_read([this, filter, answer] {
-    answer(audit_matching(machine_.audit(), filter));
+    answer(search_audit(machine_.audit(), filter));
   });
   if (!asked) answer(tl::make_unexpected(asked.error()));
 }
--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -70,14 +70,14 @@
   /// Operators' changes and reads, at any control node.
   group_orders& orders() { return orders_; }
   /// How often this node sent a configuration, or changes of it, to a watcher.
-  std::uint64_t contents_sent() const { return watchers_.contents_sent(); }
+  std::uint64_t contents_sent() const { return watchers_.updates_sent(); }
   /// Called when all watchers have a revision: the time since its decision.
   void set_on_confirmed(std::function<void(std::chrono::milliseconds)> action) {
     watchers_.on_confirmed = std::move(action);
   }
   /// The connection to the peer at `address` was lost.
   void connection_lost(const std::string& address) {
-    if (leads()) watchers_.connection_lost(address);
+    if (leads()) watchers_.handle_connection_lost(address);
   }
 
  private:
--- a/node/src/group_orders.cc
+++ b/node/src/group_orders.cc
@@ -13,9 +13,9 @@
 constexpr char read_method[] = "config.read";
 // A plan is acknowledged after this time even if some watchers have not
 // confirmed it.
-constexpr milliseconds longest_confirmation{3000};
+constexpr milliseconds max_confirmation_wait{3000};
 
-constexpr char ask_again[] = "send the same request again";
+constexpr char retry_remedy[] = "send the same request again";
 
 }  // namespace
 
@@ -23,52 +23,55 @@
   calls_.start();
   calls_.handle(submit_method,
                 [this](const json& params, const answer_function& answer) {
-                  result<config::change> asked =
+                  result<config::change> requested =
                       config::decode_change(text_of(params, "change"));
-                  if (asked) {
-                    take(std::move(*asked), answer);
+                  if (requested) {
+                    propose_as_leader(std::move(*requested), answer);
                   } else {
-                    answer(tl::make_unexpected(asked.error()));
+                    answer(tl::make_unexpected(requested.error()));
                   }
                 });
-  calls_.handle(
-      read_method,
-      [this](const json&, const answer_function& answer) { confirm(answer); });
+  calls_.handle(read_method,
+                [this](const json&, const answer_function& answer) {
+                  confirm_as_leader(answer);
+                });
 }
 
 void group_orders::tick() {
   calls_.tick();
-  finish_reads();
+  complete_reads();
   acknowledge_confirmed();
 }
 
-void group_orders::submit(config::change asked, const answer_function& answer) {
+void group_orders::submit(config::change requested,
+                          const answer_function& answer) {
   if (!control_.hears_leader()) {
-    take(std::move(asked), answer);
+    propose_as_leader(std::move(requested), answer);
     return;
   }
   json params;
-  params["change"] = config::encode_change(asked);
+  params["change"] = config::encode_change(requested);
   calls_.call(control_.leader_address(), submit_method, std::move(params),
               answer);
 }
 
-void group_orders::take(config::change asked, const answer_function& answer) {
+void group_orders::propose_as_leader(config::change requested,
+                                     const answer_function& answer) {
   if (!control_.leads()) {
-    answer(
-        fail(error_kind::unavailable, "no control node leads now", ask_again));
+    answer(fail(error_kind::unavailable, "no control node leads now",
+                retry_remedy));
     return;
   }
   if (!control_.may_acknowledge()) {
     answer(fail(error_kind::unavailable, "control nodes are still joining",
-                ask_again));
+                retry_remedy));
     return;
   }
-  if (!asked.edited_plan) {
-    control_.propose(std::move(asked), answer);
+  if (!requested.edited_plan) {
+    control_.propose(std::move(requested), answer);
     return;
   }
-  control_.propose(std::move(asked),
+  control_.propose(std::move(requested),
                    [this, answer](const result<json>& outcome) {
                      if (outcome) {
                        await_confirmation(*outcome, answer);
@@ -97,7 +100,7 @@
   const monotonic_time now = context_.clock.now();
   std::vector<unconfirmed_plan> ready;
   std::erase_if(unconfirmed_, [this, now, &ready](unconfirmed_plan& it) {
-    const bool late = it.decided_at + longest_confirmation < now;
+    const bool late = it.decided_at + max_confirmation_wait < now;
     if (!late && !control_.is_confirmed(it.revision)) return false;
     ready.push_back(std::move(it));
     return true;
@@ -105,18 +108,18 @@
   for (const unconfirmed_plan& it : ready) it.answer(it.outcome);
 }
 
-void group_orders::confirm(const answer_function& answer) {
-  const result<void> asked = control_.confirm_read([this, answer] {
+void group_orders::confirm_as_leader(const answer_function& answer) {
+  const result<void> started = control_.confirm_read([this, answer] {
     json out;
     out["index"] = as_number(control_.host().applied());
     answer(out);
   });
-  if (!asked) answer(tl::make_unexpected(asked.error()));
+  if (!started) answer(tl::make_unexpected(started.error()));
 }
 
-void group_orders::read_here(const answer_function& answer) {
+void group_orders::read(const answer_function& answer) {
   if (!control_.hears_leader()) {
-    confirm(answer);
+    confirm_as_leader(answer);
     return;
   }
   calls_.call(
@@ -126,20 +129,20 @@
           answer(confirmed);
           return;
         }
-        waiting_reads_.push_back({number_of(*confirmed, "index"), answer});
-        finish_reads();
+        pending_reads_.push_back({number_of(*confirmed, "index"), answer});
+        complete_reads();
       });
 }
 
-void group_orders::finish_reads() {
+void group_orders::complete_reads() {
   const consensus::log_index applied = control_.host().applied();
-  std::vector<waiting_read> ready;
-  std::erase_if(waiting_reads_, [applied, &ready](waiting_read& it) {
+  std::vector<pending_read> ready;
+  std::erase_if(pending_reads_, [applied, &ready](pending_read& it) {
     if (it.index > applied) return false;
     ready.push_back(std::move(it));
     return true;
   });
-  for (const waiting_read& it : ready) it.answer(json(Json::objectValue));
+  for (const pending_read& it : ready) it.answer(json(Json::objectValue));
 }
 
 }  // namespace trestlepost::node
--- a/node/src/group_orders.h
+++ b/node/src/group_orders.h
@@ -21,14 +21,15 @@
   void start();
   void tick();
 
-  /// Submits `asked` to the log, through the leader if this node is a follower.
-  /// A traffic plan is answered once all watchers have it, or after a timeout.
-  void submit(config::change asked, const answer_function& answer);
+  /// Submits `requested` to the log, through the leader if this node is a
+  /// follower. A traffic plan is answered once all watchers have it, or after a
+  /// timeout.
+  void submit(config::change requested, const answer_function& answer);
   /// Answers once this node has applied every change that was acknowledged
   /// before the call.
-  void read_here(const answer_function& answer);
+  void read(const answer_function& answer);
   /// Answers the pending reads whose log index this node has applied.
-  void finish_reads();
+  void complete_reads();
   /// Acknowledges the plans that all watchers have, or whose time limit for the
   /// confirmation has passed.
   void acknowledge_confirmed();
@@ -42,24 +43,25 @@
     answer_function answer;
   };
   /// A read that waits until this node has applied the entry at `index`.
-  struct waiting_read {
+  struct pending_read {
     consensus::log_index index = 0;
     answer_function answer;
   };
 
   /// Proposes a change; fails if this node doesn't lead.
-  void take(config::change asked, const answer_function& answer);
+  void propose_as_leader(config::change requested,
+                         const answer_function& answer);
   /// Answers at once if the change was rejected, else once it is confirmed.
   void await_confirmation(const json& outcome, const answer_function& answer);
   /// On the leader, confirms leadership with a quorum and answers with the
   /// index that a read has to wait for.
-  void confirm(const answer_function& answer);
+  void confirm_as_leader(const answer_function& answer);
 
   node_context& context_;
   control_service& control_;
   peer_calls calls_;
   std::vector<unconfirmed_plan> unconfirmed_;
-  std::vector<waiting_read> waiting_reads_;
+  std::vector<pending_read> pending_reads_;
   /// The newest revision created by a plan, and when it was decided. A resent
   /// plan shares the time limit of its first submission.
   config::revision_number newest_revision_ = 0;
--- a/node/src/listing_service.cc
+++ b/node/src/listing_service.cc
@@ -168,9 +168,9 @@
 
 void listing_service::note_configuration() {
   const bool configured = configured_.first() > 0;
-  configured_.note(context_.store.revision(), context_.clock.now());
+  configured_.record(context_.store.revision(), context_.clock.now());
   const bool is_first = !configured && configured_.first() > 0;
-  if (!is_first || context_.store.given_back().empty()) return;
+  if (!is_first || context_.store.ended_evacuations().empty()) return;
   // A list from before tells nothing of the zones that were given back since,
   // and waiting for the reader's takes up to a second.
   must_read_ = true;
@@ -258,7 +258,8 @@
 awaitable<void> listing_service::read_all() {
   // What has been in force here for longer than the list lags is in the list
   // that is asked for now.
-  const config::revision_number covers = configured_.at(context_.clock.now());
+  const config::revision_number covers =
+      configured_.newest_settled(context_.clock.now());
   // The first configuration is no change that has just been made, as a rule:
   // to wait until it has settled would cost a second of each start.
   const config::revision_number covers_here =
--- a/node/src/order_handler.cc
+++ b/node/src/order_handler.cc
@@ -20,38 +20,38 @@
 constexpr milliseconds answer_timeout{900};
 
 // Interval between checks of a lapsed lease.
-constexpr milliseconds lease_pause{10};
+constexpr milliseconds lease_check_interval{10};
 // Delay between two attempts at a change or a read.
-constexpr milliseconds retry_pause{50};
+constexpr milliseconds retry_delay{50};
 
 // A plan of at least this size (one connection window) is streamed while its
 // read is being confirmed. Between regions the confirmation takes as long as
 // the transfer of half a megabyte.
-constexpr std::size_t least_streamed = 64UL * 1024;
+constexpr std::size_t min_streamed_bytes = 64UL * 1024;
 // Number of bytes at the end of a streamed plan that are withheld until the
 // read is confirmed.
-constexpr std::size_t held_back = 64;
+constexpr std::size_t withheld_bytes = 64;
 constexpr unsigned streamed_status = 200;
 
-constexpr char ask_again[] = "send the same request again";
+constexpr char retry_remedy[] = "send the same request again";
 
 /// A value that a callback delivers, and a timer to wait for it.
 template <typename T>
-struct delivery {
-  explicit delivery(transport::asio::io_context& io) : timer(io) {}
+struct pending_result {
+  explicit pending_result(transport::asio::io_context& io) : timer(io) {}
 
   transport::timer timer;
   std::optional<T> value;
 
-  void deliver(T given) {
-    value = std::move(given);
+  void deliver(T received) {
+    value = std::move(received);
     timer.cancel();
   }
 };
 
 /// Waits for the value, at most until `deadline`.
 template <typename T>
-awaitable<void> wait_for(std::shared_ptr<delivery<T>> pending,
+awaitable<void> wait_for(std::shared_ptr<pending_result<T>> pending,
                          monotonic_time deadline) {
   if (pending->value) co_return;
   pending->timer.expires_at(deadline);
@@ -60,7 +60,7 @@
       boost::asio::redirect_error(boost::asio::use_awaitable, ec));
 }
 
-awaitable<void> pause(transport::asio::io_context& io, milliseconds time) {
+awaitable<void> sleep_for(transport::asio::io_context& io, milliseconds time) {
   transport::timer timer(io);
   timer.expires_after(time);
   boost::system::error_code ec;
@@ -69,20 +69,21 @@
 }
 
 /// Whether a request that failed with `refusal` may succeed shortly after.
-bool is_passing(const error& refusal) {
+bool is_transient(const error& refusal) {
   return refusal.kind == error_kind::unavailable ||
          refusal.kind == error_kind::not_leader;
 }
 
 /// Whether a change with this outcome may succeed shortly after.
-bool worth_retrying(const change_outcome& outcome) {
-  if (!outcome) return is_passing(outcome.error());
+bool is_retryable(const change_outcome& outcome) {
+  if (!outcome) return is_transient(outcome.error());
   // Another plan was committed first, so the edit's base is out of date.
   return outcome->status == config::change_status::conflict;
 }
 
-error unclear() {
-  return {error_kind::unavailable, "the outcome is not known yet", ask_again};
+error unknown_outcome() {
+  return {error_kind::unavailable, "the outcome is not known yet",
+          retry_remedy};
 }
 
 std::string_view name_of(order_kind kind) {
@@ -104,17 +105,17 @@
       std::chrono::duration_cast<milliseconds>(to - from).count());
 }
 
-/// Encodes an order as a change. `held` is the plan in force, the base of a
-/// plan edit, or null.
+/// Encodes an order as a change. `base_plan` is the plan in force, the base of
+/// a plan edit, or null.
 config::change make_change(const operator_order& order,
-                           const config::traffic_plan* held,
+                           const config::traffic_plan* base_plan,
                            random_source& random) {
   config::change out;
   out.id = "order-" + make_request_id(random);
   out.operator_name = "operator";
   if (order.plan) {
     out.edited_plan = std::make_shared<const config::plan_edit>(
-        config::make_plan_edit(held, *order.plan));
+        config::make_plan_edit(base_plan, *order.plan));
   } else {
     out.evacuation = config::zone_evacuation{
         order.availability_zone, order.kind == order_kind::evacuate};
@@ -126,7 +127,7 @@
 
 awaitable<void> order_handler::handle(transport::http_exchange& exchange) {
   const std::string target(exchange.target());
-  const monotonic_time begun = context_.clock.now();
+  const monotonic_time started = context_.clock.now();
   const result<std::string> body = co_await exchange.read_body();
   const monotonic_time read = context_.clock.now();
   std::optional<http_answer> out;
@@ -144,7 +145,7 @@
              {"status", std::to_string(status)},
              {"bytes", std::to_string(body ? body->size() : 0)},
              {"answer_bytes", std::to_string(answer_bytes)},
-             {"read_ms", ms_between(begun, read)},
+             {"read_ms", ms_between(started, read)},
              {"decide_ms", ms_between(read, answered)},
              {"write_ms", ms_between(answered, context_.clock.now())}});
 }
@@ -164,7 +165,7 @@
   http_answer out;
   if (order->kind == order_kind::read_plan) {
     const config::plan_ptr plan = control_->machine().store().plan();
-    const bool large = plan && plan->document.size() >= least_streamed;
+    const bool large = plan && plan->document.size() >= min_streamed_bytes;
     if (large && control_->knows_leader()) {
       co_await stream_plan(exchange, plan, deadline);
       co_return std::nullopt;
@@ -181,36 +182,37 @@
   co_return out;
 }
 
-awaitable<void> order_handler::regain_lease(monotonic_time deadline) {
+awaitable<void> order_handler::wait_for_lease(monotonic_time deadline) {
   // After a long event loop iteration, such as one that reads a large order,
   // the replies that renew the lease are still unread in the sockets.
   while (control_->is_leader() && !control_->leads() &&
          context_.clock.now() < deadline) {
-    co_await pause(context_.io, lease_pause);
+    co_await sleep_for(context_.io, lease_check_interval);
   }
 }
 
 awaitable<http_answer> order_handler::change(operator_order order,
                                              monotonic_time deadline) {
   if (order.plan) {
-    const result<void> sound = config::check_plan(*order.plan);
-    if (!sound) co_return surface_->refuse(sound.error());
+    const result<void> valid = config::validate_plan(*order.plan);
+    if (!valid) co_return surface_->refuse(valid.error());
   }
   std::optional<change_outcome> outcome = co_await propose(order, deadline);
-  while (outcome && worth_retrying(*outcome) &&
-         context_.clock.now() + retry_pause < deadline) {
-    co_await pause(context_.io, retry_pause);
+  while (outcome && is_retryable(*outcome) &&
+         context_.clock.now() + retry_delay < deadline) {
+    co_await sleep_for(context_.io, retry_delay);
     outcome = co_await propose(order, deadline);
   }
-  if (!outcome) co_return surface_->refuse(unclear());
+  if (!outcome) co_return surface_->refuse(unknown_outcome());
   if (!*outcome) co_return surface_->refuse(outcome->error());
   const config::change_result& decided = **outcome;
   if (decided.status == config::change_status::accepted) {
     co_return surface_->acknowledge(order);
   }
-  if (worth_retrying(*outcome)) {
-    const error raced{error_kind::unavailable, decided.message, ask_again};
-    co_return surface_->refuse(raced);
+  if (is_retryable(*outcome)) {
+    const error superseded{error_kind::unavailable, decided.message,
+                           retry_remedy};
+    co_return surface_->refuse(superseded);
   }
   const error invalid{error_kind::bad_input, decided.message, decided.remedy};
   co_return surface_->refuse(invalid);
@@ -218,12 +220,12 @@
 
 awaitable<std::optional<change_outcome>> order_handler::propose(
     const operator_order& order, monotonic_time deadline) {
-  co_await regain_lease(deadline);
-  const std::shared_ptr<delivery<change_outcome>> pending =
-      std::make_shared<delivery<change_outcome>>(context_.io);
-  const config::plan_ptr held = control_->machine().store().plan();
+  co_await wait_for_lease(deadline);
+  const std::shared_ptr<pending_result<change_outcome>> pending =
+      std::make_shared<pending_result<change_outcome>>(context_.io);
+  const config::plan_ptr base_plan = control_->machine().store().plan();
   control_->orders().submit(
-      make_change(order, held.get(), context_.random),
+      make_change(order, base_plan.get(), context_.random),
       [pending](const result<json>& it) {
         pending->deliver(it.map(config::change_result_from));
       });
@@ -233,10 +235,10 @@
 
 awaitable<std::optional<result<json>>> order_handler::confirm(
     monotonic_time deadline) {
-  co_await regain_lease(deadline);
-  const std::shared_ptr<delivery<result<json>>> pending =
-      std::make_shared<delivery<result<json>>>(context_.io);
-  control_->orders().read_here(
+  co_await wait_for_lease(deadline);
+  const std::shared_ptr<pending_result<result<json>>> pending =
+      std::make_shared<pending_result<result<json>>>(context_.io);
+  control_->orders().read(
       [pending](const result<json>& it) { pending->deliver(it); });
   co_await wait_for<result<json>>(pending, deadline);
   co_return pending->value;
@@ -245,15 +247,15 @@
 awaitable<void> order_handler::stream_plan(transport::http_exchange& exchange,
                                            config::plan_ptr plan,
                                            monotonic_time deadline) {
-  const std::shared_ptr<delivery<result<json>>> pending =
-      std::make_shared<delivery<result<json>>>(context_.io);
-  control_->orders().read_here(
+  const std::shared_ptr<pending_result<result<json>>> pending =
+      std::make_shared<pending_result<result<json>>>(context_.io);
+  control_->orders().read(
       [pending](const result<json>& it) { pending->deliver(it); });
   http_answer head = surface_->show_plan(*plan);
   std::string body = std::exchange(head.body, {});
   const std::size_t size = body.size();
-  const std::string end = body.substr(size - held_back);
-  body.resize(size - held_back);
+  const std::string end = body.substr(size - withheld_bytes);
+  body.resize(size - withheld_bytes);
   bool sent = co_await exchange.start_sized_stream(std::move(head), size);
   if (sent) sent = co_await exchange.write_piece(std::move(body));
   co_await wait_for<result<json>>(pending, deadline);
@@ -274,17 +276,18 @@
 
 awaitable<http_answer> order_handler::read_plan(monotonic_time deadline) {
   std::optional<result<json>> confirmed = co_await confirm(deadline);
-  while (confirmed && !*confirmed && is_passing(confirmed->error()) &&
-         context_.clock.now() + retry_pause < deadline) {
-    co_await pause(context_.io, retry_pause);
+  while (confirmed && !*confirmed && is_transient(confirmed->error()) &&
+         context_.clock.now() + retry_delay < deadline) {
+    co_await sleep_for(context_.io, retry_delay);
     confirmed = co_await confirm(deadline);
   }
-  if (!confirmed) co_return surface_->refuse(unclear());
+  if (!confirmed) co_return surface_->refuse(unknown_outcome());
   if (!*confirmed) co_return surface_->refuse(confirmed->error());
   const config::plan_ptr plan = control_->machine().store().plan();
   if (plan) co_return surface_->show_plan(*plan);
-  const error none{error_kind::unavailable, "there is no plan yet", ask_again};
-  co_return surface_->refuse(none);
+  const error no_plan{error_kind::unavailable, "there is no plan yet",
+                      retry_remedy};
+  co_return surface_->refuse(no_plan);
 }
 
 }  // namespace trestlepost::node
--- a/node/src/order_handler.h
+++ b/node/src/order_handler.h
@@ -33,7 +33,7 @@
   transport::awaitable<std::optional<transport::http_answer>> answer(
       transport::http_exchange& exchange, const std::string& body);
   /// Waits while this node is leader but its lease has lapsed.
-  transport::awaitable<void> regain_lease(monotonic_time deadline);
+  transport::awaitable<void> wait_for_lease(monotonic_time deadline);
   /// Proposes a change until it is decided, retrying transient failures.
   transport::awaitable<transport::http_answer> change(
       surface::operator_order order, monotonic_time deadline);
--- a/node/src/watch_client.cc
+++ b/node/src/watch_client.cc
@@ -10,9 +10,9 @@
 namespace {
 
 // Maximum number of unanswered polls that are kept; older ones are dropped.
-constexpr std::size_t most_questions = 64;
+constexpr std::size_t max_pending_polls = 64;
 // Number of unanswered polls after which the leader is looked up again.
-constexpr int polls_without_answer = 3;
+constexpr int max_unanswered_polls = 3;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
                            std::function<membership::heartbeat()> beat)
     : context_(context),
       make_heartbeat_(std::move(beat)),
-      finder_(polls_without_answer * context.options.timing.poll_interval) {}
+      finder_(max_unanswered_polls * context.options.timing.poll_interval) {}
 
 void watch_client::start() {
   if (!context_.options.data_folder.empty()) {
@@ -55,22 +55,22 @@
   json params;
   const std::uint64_t token = next_token_++;
   params["token"] = as_number(token);
-  introduce(params, address);
+  add_identity(params, address);
   params["revision"] = as_number(context_.store.revision());
-  params["book_version"] = as_number(book_version_);
-  if (missed_) params["missed"] = true;
-  missed_ = false;
-  questions_.push_back({token, context_.clock.now()});
-  if (questions_.size() > most_questions) questions_.pop_front();
+  params["book_version"] = as_number(directory_version_);
+  if (update_missed_) params["missed"] = true;
+  update_missed_ = false;
+  pending_polls_.push_back({token, context_.clock.now()});
+  if (pending_polls_.size() > max_pending_polls) pending_polls_.pop_front();
   context_.links.send(address, "config.poll", params);
 }
 
-void watch_client::introduce(json& params, const std::string& address) {
+void watch_client::add_identity(json& params, const std::string& address) {
   const membership::heartbeat beat = make_heartbeat_();
   const bool known =
-      introduced_to_ == address && introduced_state_ == beat.state;
-  introduced_to_ = address;
-  introduced_state_ = beat.state;
+      identified_to_ == address && identified_state_ == beat.state;
+  identified_to_ = address;
+  identified_state_ = beat.state;
   if (!known) {
     params["heartbeat"] = membership::to_json(beat);
     return;
@@ -83,10 +83,10 @@
 }
 
 void watch_client::handle_update(const json& params) {
-  const std::string asker = text_of(params, "for");
-  if (!asker.empty() && asker != context_.self.peer_address) {
+  const std::string recipient = text_of(params, "for");
+  if (!recipient.empty() && recipient != context_.self.peer_address) {
     // The node polled through this one because it can't reach the leader.
-    context_.links.send(asker, "config.update", params);
+    context_.links.send(recipient, "config.update", params);
     return;
   }
   const monotonic_time now = context_.clock.now();
@@ -95,23 +95,23 @@
   if (!leader_address.empty()) context_.heard_from[leader] = leader_address;
   if (finder_.learn(leader, now)) next_poll_ = now;
   if (flag_of(params, "stranger")) {
-    introduced_to_.clear();
+    identified_to_.clear();
     next_poll_ = now;
   }
   const std::uint64_t token = number_of(params, "token");
-  const auto asked =
-      std::find_if(questions_.begin(), questions_.end(),
-                   [token](const question& it) { return it.token == token; });
+  const auto pending = std::find_if(
+      pending_polls_.begin(), pending_polls_.end(),
+      [token](const pending_poll& it) { return it.token == token; });
   const json& update = member_of(params, "update");
   if (update.isObject()) apply(update);
-  if (asked == questions_.end()) return;
+  if (pending == pending_polls_.end()) return;
   // A follower's answer is not final: it has forwarded the poll to the leader.
   if (!flag_of(params, "confirmed")) return;
   finder_.confirmed(now);
-  take_book(update);
+  read_directory(update);
   const bool current = context_.store.revision() >= number_of(update, "to");
-  if (current) context_.state.confirm(asked->asked_at, now);
-  questions_.erase(asked);
+  if (current) context_.state.confirm(pending->sent_at, now);
+  pending_polls_.erase(pending);
 }
 
 void watch_client::apply(const json& value) {
@@ -120,13 +120,13 @@
   if (!newer || !config::has_content(value)) return;
   const result<config::watch_update> update = config::watch_update_from(value);
   if (!update) {
-    ask_again(update.error());
+    request_missed_update(update.error());
     return;
   }
   config::object_store next = context_.store;
   const result<void> applied = config::apply_update(next, *update);
   if (!applied) {
-    ask_again(applied.error());
+    request_missed_update(applied.error());
     return;
   }
   if (!context_.options.data_folder.empty()) {
@@ -148,20 +148,20 @@
   if (on_changed) on_changed();
 }
 
-void watch_client::ask_again(const error& cause) {
+void watch_client::request_missed_update(const error& cause) {
   log_event(log_level::warn, "configuration-update-missed",
             {{"revision", std::to_string(context_.store.revision())},
              {"detail", cause.message}});
-  missed_ = true;
+  update_missed_ = true;
   next_poll_ = context_.clock.now();
 }
 
-void watch_client::take_book(const json& update) {
+void watch_client::read_directory(const json& update) {
   for (const json& it : member_of(update, "book")) {
     const membership::node_info info = membership::node_info_from(it);
     if (!info.name.empty()) context_.book[info.name] = info;
   }
-  book_version_ = number_of(update, "book_version");
+  directory_version_ = number_of(update, "book_version");
   for (const json& it : member_of(update, "ledgers")) {
     const config::ledger_founding one = config::ledger_founding_from(it);
     ledgers_[one.region] = one;
--- a/node/src/watch_client.h
+++ b/node/src/watch_client.h
@@ -35,9 +35,9 @@
 
  private:
   /// A poll that has not been answered yet.
-  struct question {
+  struct pending_poll {
     std::uint64_t token = 0;
-    monotonic_time asked_at;
+    monotonic_time sent_at;
   };
 
   poll_situation situation() const;
@@ -45,27 +45,27 @@
   /// Adds this node's identity to a poll: the full heartbeat if the receiver
   /// doesn't have this node's current state, else only the fields that show
   /// that the node is alive.
-  void introduce(json& params, const std::string& address);
+  void add_identity(json& params, const std::string& address);
   void handle_update(const json& params);
   void apply(const json& update);
   /// Polls at once and reports that an update could not be applied.
-  void ask_again(const error& cause);
+  void request_missed_update(const error& cause);
   /// Takes the node addresses and ledger groups from a confirmed update.
-  void take_book(const json& update);
+  void read_directory(const json& update);
 
   node_context& context_;
   std::function<membership::heartbeat()> make_heartbeat_;
   leader_finder finder_;
   std::map<std::string, config::ledger_founding> ledgers_;
-  std::deque<question> questions_;
+  std::deque<pending_poll> pending_polls_;
   std::uint64_t next_token_ = 1;
-  std::uint64_t book_version_ = 0;
+  std::uint64_t directory_version_ = 0;
   /// Whether an update since the last poll skipped revisions or was unreadable.
-  bool missed_ = false;
+  bool update_missed_ = false;
   monotonic_time next_poll_;
   /// The receiver of the last poll, and this node's state in it.
-  std::string introduced_to_;
-  std::string introduced_state_;
+  std::string identified_to_;
+  std::string identified_state_;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/watcher_paths.h
+++ b/node/src/watcher_paths.h
@@ -12,31 +12,31 @@
 
 /// Determines from the polls of one watcher over which paths it can be reached.
 /// Makes decisions only; config_watchers sends the messages.
-class watcher_ways {
+class watcher_paths {
  public:
   /// Whether a message is sent to the watcher itself or to the node that relays
   /// it.
-  enum class way { direct, passed_on };
+  enum class path { direct, relayed };
 
-  explicit watcher_ways(monotonic_time now) : first_at_(now) {}
+  explicit watcher_paths(monotonic_time now) : first_poll_at_(now) {}
 
   /// Records a poll of the watcher at `address`. `via` is the address of the
   /// node that forwarded it, or empty for a direct poll.
-  void polled(const std::string& address, const std::string& via,
-              monotonic_time now);
+  void record_poll(const std::string& address, const std::string& via,
+                   monotonic_time now);
 
   /// Whether a path has been determined yet.
-  bool known(monotonic_time now) const;
+  bool is_known(monotonic_time now) const;
   /// The preferred path.
-  way best(monotonic_time now) const;
+  path preferred(monotonic_time now) const;
   /// All paths that may reach the watcher, for messages that were lost on the
   /// preferred one.
-  std::vector<way> all(monotonic_time now) const;
+  std::vector<path> candidates(monotonic_time now) const;
   /// The paths over which to send again what may have been lost with the
   /// connection to the peer at `lost`; empty if it wasn't used for this
   /// watcher.
-  std::vector<way> after_loss(const std::string& lost,
-                              monotonic_time now) const;
+  std::vector<path> after_loss(const std::string& lost,
+                               monotonic_time now) const;
 
   const std::string& address() const { return address_; }
   const std::string& via() const { return via_; }
@@ -46,9 +46,9 @@
 
   std::string address_;
   std::string via_;
-  monotonic_time first_at_;
+  monotonic_time first_poll_at_;
   /// Time of the last direct poll.
-  std::optional<monotonic_time> direct_at_;
+  std::optional<monotonic_time> last_direct_poll_at_;
 };
 
 }  // namespace trestlepost::node
--- a/node/test/settled_revision-test.cc
+++ b/node/test/settled_revision-test.cc
@@ -8,21 +8,21 @@
 
 using std::chrono::milliseconds;
 
-TEST(settled_revision_test, a_revision_settles_after_its_time) {
+TEST(settled_revision_test, revision_settles_after_settle_time) {
   const monotonic_time start{std::chrono::hours(1)};
   settled_revision it(milliseconds(800));
-  EXPECT_EQ(it.at(start), 0U);
+  EXPECT_EQ(it.newest_settled(start), 0U);
   EXPECT_EQ(it.first(), 0U);
-  it.note(0, start);
-  it.note(3, start);
-  it.note(3, start + milliseconds(500));
-  it.note(5, start + milliseconds(600));
-  EXPECT_EQ(it.at(start + milliseconds(799)), 0U);
-  EXPECT_EQ(it.at(start + milliseconds(800)), 3U);
-  EXPECT_EQ(it.at(start + milliseconds(1399)), 3U);
-  EXPECT_EQ(it.at(start + milliseconds(1400)), 5U);
-  it.note(5, start + milliseconds(1500));
-  EXPECT_EQ(it.at(start + milliseconds(9000)), 5U);
+  it.record(0, start);
+  it.record(3, start);
+  it.record(3, start + milliseconds(500));
+  it.record(5, start + milliseconds(600));
+  EXPECT_EQ(it.newest_settled(start + milliseconds(799)), 0U);
+  EXPECT_EQ(it.newest_settled(start + milliseconds(800)), 3U);
+  EXPECT_EQ(it.newest_settled(start + milliseconds(1399)), 3U);
+  EXPECT_EQ(it.newest_settled(start + milliseconds(1400)), 5U);
+  it.record(5, start + milliseconds(1500));
+  EXPECT_EQ(it.newest_settled(start + milliseconds(9000)), 5U);
   EXPECT_EQ(it.first(), 3U);
 }
 
--- a/node/test/watcher_paths-test.cc
+++ b/node/test/watcher_paths-test.cc
@@ -15,55 +15,55 @@
 namespace {
 
 using std::chrono::milliseconds;
-using way = watcher_ways::way;
-using ways = std::vector<way>;
+using path = watcher_paths::path;
+using paths = std::vector<path>;
 
 monotonic_time at(int ms) {
   return monotonic_time(milliseconds(10'000 + ms));
 }
 
-TEST(watcher_ways_test, one_that_polls_itself_is_written_to_directly) {
-  watcher_ways it(at(0));
-  it.polled("w", "relay", at(0));
-  EXPECT_FALSE(it.known(at(0)));
-  it.polled("w", "", at(100));
-  EXPECT_TRUE(it.known(at(100)));
-  EXPECT_EQ(it.best(at(1000)), way::direct);
-  it.polled("w", "relay", at(1050));
-  EXPECT_EQ(it.best(at(1200)), way::passed_on);
+TEST(watcher_paths_test, direct_path_is_used_after_direct_poll) {
+  watcher_paths it(at(0));
+  it.record_poll("w", "relay", at(0));
+  EXPECT_FALSE(it.is_known(at(0)));
+  it.record_poll("w", "", at(100));
+  EXPECT_TRUE(it.is_known(at(100)));
+  EXPECT_EQ(it.preferred(at(1000)), path::direct);
+  it.record_poll("w", "relay", at(1050));
+  EXPECT_EQ(it.preferred(at(1200)), path::relayed);
 }
 
-TEST(watcher_ways_test, without_another_node_it_is_written_to_directly) {
-  watcher_ways it(at(0));
-  it.polled("w", "", at(0));
-  EXPECT_EQ(it.best(at(60'000)), way::direct);
+TEST(watcher_paths_test, direct_path_is_used_without_relay) {
+  watcher_paths it(at(0));
+  it.record_poll("w", "", at(0));
+  EXPECT_EQ(it.preferred(at(60'000)), path::direct);
 }
 
-TEST(watcher_ways_test, a_lost_connection_is_replaced_by_both_ways) {
-  watcher_ways it(at(0));
-  it.polled("w", "", at(0));
-  it.polled("w", "relay", at(1500));
+TEST(watcher_paths_test, both_paths_are_used_after_connection_loss) {
+  watcher_paths it(at(0));
+  it.record_poll("w", "", at(0));
+  it.record_poll("w", "relay", at(1500));
   // The loss is detected 2 s after the last direct poll.
-  EXPECT_EQ(it.after_loss("w", at(2000)), (ways{way::direct, way::passed_on}));
+  EXPECT_EQ(it.after_loss("w", at(2000)), (paths{path::direct, path::relayed}));
   EXPECT_EQ(it.after_loss("relay", at(2000)),
-            (ways{way::direct, way::passed_on}));
-  EXPECT_EQ(it.after_loss("another", at(2000)), ways{});
+            (paths{path::direct, path::relayed}));
+  EXPECT_EQ(it.after_loss("another", at(2000)), paths{});
 }
 
-TEST(watcher_ways_test, what_was_lost_goes_by_all_ways) {
-  watcher_ways it(at(0));
-  it.polled("w", "", at(0));
-  EXPECT_EQ(it.all(at(500)), ways{way::direct});
-  it.polled("w", "relay", at(1500));
-  EXPECT_EQ(it.all(at(1500)), (ways{way::direct, way::passed_on}));
+TEST(watcher_paths_test, lost_messages_use_all_paths) {
+  watcher_paths it(at(0));
+  it.record_poll("w", "", at(0));
+  EXPECT_EQ(it.candidates(at(500)), paths{path::direct});
+  it.record_poll("w", "relay", at(1500));
+  EXPECT_EQ(it.candidates(at(1500)), (paths{path::direct, path::relayed}));
 }
 
-TEST(watcher_ways_test, one_that_is_heard_directly_is_not_sent_more) {
-  watcher_ways it(at(0));
-  it.polled("w", "relay", at(0));
-  it.polled("w", "", at(500));
-  EXPECT_EQ(it.after_loss("w", at(600)), ways{way::direct});
-  EXPECT_EQ(it.after_loss("relay", at(600)), ways{});
+TEST(watcher_paths_test, relay_is_not_used_with_recent_direct_poll) {
+  watcher_paths it(at(0));
+  it.record_poll("w", "relay", at(0));
+  it.record_poll("w", "", at(500));
+  EXPECT_EQ(it.after_loss("w", at(600)), paths{path::direct});
+  EXPECT_EQ(it.after_loss("relay", at(600)), paths{});
 }
 
 }  // namespace
--- a/routing/src/former_homes.cc
+++ b/routing/src/former_homes.cc
@@ -18,7 +18,7 @@
         service_(service) {}
 
   /// Undoes one replacement; false when it does not concern the request.
-  bool undo(const config::former_spec& it) {
+  bool undo(const config::replaced_spec& it) {
     const bool existed = !it.text.empty();
     const json spec = it.spec();
     problem_list problems;
@@ -78,7 +78,7 @@
                                       const std::string& present_home,
                                       wall_time now) {
   std::vector<std::string> out;
-  const std::deque<config::former_spec>& former = store.former();
+  const std::deque<config::replaced_spec>& former = store.replaced_specs();
   earlier_objects earlier(store, caller, service);
   bool changed = false;
   for (auto it = former.rbegin(); it != former.rend(); ++it) {
--- a/routing/test/placement-test.cc
+++ b/routing/test/placement-test.cc
@@ -20,7 +20,7 @@
   problem_list problems;
   const json spec = *parse_json(text);
   const edit one{kind, spec["name"].asString(), spec, std::nullopt};
-  if (at) store.remember_former(one, *at);
+  if (at) store.record_replaced(one, *at);
   store.put(one, store.revision() + 1, problems);
   ASSERT_TRUE(problems.empty()) << problems.to_text("test");
 }
