--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -71,7 +71,7 @@
   // Ends of evacuations don't depend on `evacuated_`: a node that was
   // partitioned or stalled may receive the start and the end of an evacuation
   // at once.
-  for (const auto& [zone, revision] : context_.store.given_back()) {
+  for (const auto& [zone, revision] : context_.store.ended_evacuations()) {
     const bool is_new =
         warmth_.record_evacuation_end(zone, revision, context_.clock.now());
     if (!is_new) continue;
--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -146,7 +146,7 @@
         growth_.record_address(*host_, context_.clock.now(), in->from,
                                text_of(params, "from_address"));
         host_->receive(context_.clock.now(), *in);
-        orders_.finish_reads();
+        orders_.complete_reads();
       });
   orders_.start();
   peers.add_notification(
@@ -237,11 +237,11 @@
     // send its full heartbeat first.
     answer["stranger"] = true;
   } else if (leads()) {
-    watchers_.lead_in(host_->core().term());
+    watchers_.start_term(host_->core().term());
     // Send the configuration first, so that it is in force when the answer
     // arrives.
     const json& sender = alive.isObject() ? alive : beat;
-    watchers_.polled({poller, address, via, number_of(sender, "sequence"),
+    watchers_.handle_poll({poller, address, via, number_of(sender, "sequence"),
                       number_of(params, "revision"),
                       flag_of(params, "missed")});
     orders_.acknowledge_confirmed();
@@ -305,13 +305,13 @@
       answer(config::to_json(record.outcome));
     }
   }
-  if (leads()) watchers_.push();
+  if (leads()) watchers_.push_updates();
 }
 
 void control_service::propose(config::change asked,
                               const answer_function& answer) {
   const std::optional<config::change_result> known =
-      machine_.known_result(asked);
+      machine_.first_result(asked);
   if (known && leads()) {
     answer(config::to_json(*known));
     return;
@@ -338,7 +338,7 @@
   const monotonic_time now = context_.clock.now();
   // A new leader does not know all watchers until they have polled it.
   const bool known = since && *since + watcher_discovery_time <= now;
-  return known && watchers_.held_by_all() >= revision;
+  return known && watchers_.lowest_revision() >= revision;
 }
 
 result<json> control_service::recover() {
@@ -356,7 +356,7 @@
 void control_service::read_audit(const json& filter,
                                  const answer_function& answer) {
   const result<void> asked = confirm_read([this, filter, answer] {
-    answer(audit_matching(machine_.audit(), filter));
+    answer(search_audit(machine_.audit(), filter));
   });
   if (!asked) answer(tl::make_unexpected(asked.error()));
 }
--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -75,7 +75,7 @@
   /// Operators' changes and reads, which any control node accepts.
   group_orders& orders() { return orders_; }
   /// The number of full or incremental configurations sent to watchers.
-  std::uint64_t contents_sent() const { return watchers_.contents_sent(); }
+  std::uint64_t contents_sent() const { return watchers_.updates_sent(); }
   /// `action` is called when all watchers have applied a revision, with the
   /// time since the revision was decided.
   void set_on_confirmed(std::function<void(std::chrono::milliseconds)> action) {
@@ -83,7 +83,7 @@
   }
   /// Handles the loss of the connection to the peer at `address`.
   void connection_lost(const std::string& address) {
-    if (leads()) watchers_.connection_lost(address);
+    if (leads()) watchers_.handle_connection_lost(address);
   }
 
  private:
--- a/node/src/endpoint_list_service.cc
+++ b/node/src/endpoint_list_service.cc
@@ -170,9 +170,9 @@
 
 void endpoint_list_service::track_configuration() {
   const bool configured = configured_.first() > 0;
-  configured_.note(context_.store.revision(), context_.clock.now());
+  configured_.record(context_.store.revision(), context_.clock.now());
   const bool is_first = !configured && configured_.first() > 0;
-  if (!is_first || context_.store.given_back().empty()) return;
+  if (!is_first || context_.store.ended_evacuations().empty()) return;
   // A list read earlier does not show the state of zones whose evacuation has
   // ended since, and the reader's next update takes up to a second.
   read_forced_ = true;
@@ -262,7 +262,7 @@
   // The platform's list lags. It reflects the revisions that have been in force
   // for longer than that.
   const config::revision_number covered_revision =
-      configured_.at(context_.clock.now());
+      configured_.newest_settled(context_.clock.now());
   // The first configuration after a start was usually decided long before.
   // Waiting until the list reflects it would delay each start by a second.
   const config::revision_number local_covered_revision =
