--- a/bench/measure/config.cc
+++ b/bench/measure/config.cc
@@ -22,7 +22,7 @@
       .count();
 }
 
-/// Latency of changes one after the other, at the leader.
+/// Latency and rate of sequential changes at the leader.
 void measure_changes(test::cluster& it, int changes) {
   const std::string leader = it.leader();
   std::vector<double> latencies;
@@ -35,11 +35,12 @@
   const double seconds = ms_since(start) / 1000;
   std::printf(
       "changes one by one: %.1f a second, p50 %.1f ms, p99 %.1f ms "
-      "(the client asks for the result every 50 ms)\n",
+      "(the client polls for the result, every 100 ms at most)\n",
       changes / seconds, bench::quantile(latencies, 0.5),
       bench::quantile(latencies, 0.99));
 }
 
+/// Time from sending a change until all nodes have its revision.
 void measure_in_force(unsigned delay_ms) {
   test::cluster_options options;
   options.delay_ms = delay_ms;
@@ -66,7 +67,7 @@
       delay_ms, bench::quantile(times, 0.5), bench::quantile(times, 1));
 }
 
-/// Time from the fault until a change is accepted again.
+/// Milliseconds from the leader's fault until a change is accepted again.
 double time_without_leader(test::cluster& it, bool freeze) {
   const std::string leader = it.leader();
   std::string other;
--- a/bench/measure/main.cc
+++ b/bench/measure/main.cc
@@ -1,4 +1,4 @@
-// trestlepost-measure: what `support/bench` runs.
+// trestlepost-measure: measurements on loopback; `support/bench` runs it.
 #include <CLI/CLI.hpp>
 
 #include "measure.h"
--- a/bench/measure/measure.h
+++ b/bench/measure/measure.h
@@ -1,18 +1,22 @@
-// Measurements over a deployment of real processes.
+// Measurements on a deployment of real processes; each prints its results and
+// returns the exit status.
 #pragma once
 
 namespace trestlepost::measure {
 
-/// Time that a gateway adds to a request, its highest rate, its memory.
+/// Latency that a gateway adds, its CPU use by request rate, its memory.
 int measure_overhead();
 
-/// Changes of the configuration: rate, latency, time in force, gaps.
+/// Configuration changes: rate, latency, time until in force on all nodes, time
+/// without a leader, restart time.
 int measure_config();
 
-/// Bytes and CPU that nodes spend on control, with the shipped timing.
+/// Peer traffic and CPU use of nodes without requests, at rest and with one
+/// change per second, at the default timing.
 int measure_rest();
 
-/// Policies side by side under load and faults.
+/// Region policies compared under load and faults; a run for each seed from 1
+/// to `repeats`.
 int measure_policy(unsigned repeats);
 
 }  // namespace trestlepost::measure
--- a/bench/measure/overhead.cc
+++ b/bench/measure/overhead.cc
@@ -40,11 +40,12 @@
   for (const auto& [name, it] : bench::run_load(options)) print(name, it);
 }
 
-/// Makes repeatable what the endpoint answers at once.
+/// Makes the plain service repeatable, so that its requests need no ledger.
 void configure(test::cluster& it) {
   it.apply("isola-1", R"({"services": [{"name": "banco"}]})");
 }
 
+/// Enlarges the configuration, to measure its memory.
 void add_callers(test::cluster& it) {
   constexpr unsigned batch = 1000;
   for (unsigned from = 0; from < callers_configured; from += batch) {
--- a/bench/measure/policy.cc
+++ b/bench/measure/policy.cc
@@ -12,13 +12,14 @@
 using bench::load_class;
 using bench::load_options;
 
-// Answers a second that one region's two endpoints give in the mix below,
-// worked out from the stand-ins' times: 16 slots, some 0.25 s a request.
+// Answers per second of one region's two endpoints under the load below,
+// calculated from the processing times of the stand-ins: 16 slots, some 0.25 s
+// per request.
 constexpr double region_capacity = 60;
 constexpr double whole_capacity = 3 * region_capacity;
 constexpr unsigned run_seconds = 10;
 
-/// One share of the load: callers near `node`.
+/// Streamed model calls of one caller through `node`.
 load_class model_class(test::cluster& it, const std::string& name,
                        const std::string& node, const std::string& caller,
                        const std::string& home, double rate) {
@@ -38,7 +39,7 @@
   return out;
 }
 
-/// Planners at their peak in isola, clerks in stretto, little in golfo.
+/// Uneven load: 55 % enters in isola, 30 % in stretto, 15 % in golfo.
 load_options mix(test::cluster& it, double share_of_capacity, unsigned seed) {
   const double rate = share_of_capacity * whole_capacity;
   load_options out;
@@ -68,7 +69,7 @@
   return "isola's endpoints lost for 4 s, 0.6";
 }
 
-/// Kills the endpoints of isola and brings them back cold.
+/// Kills the endpoints of isola and restarts them with empty caches.
 void lose_region(test::cluster& it) {
   std::this_thread::sleep_for(std::chrono::seconds(4));
   for (const char* name : {"guida-isola-1", "guida-isola-2"}) {
--- a/bench/src/caller.h
+++ b/bench/src/caller.h
@@ -1,4 +1,5 @@
-// A caller: sends one request to an entry and reads its answer whole.
+// Client for tests and load: sends one HTTP request and reads the complete
+// answer, with the times of its first piece and its end.
 #pragma once
 
 #include <chrono>
@@ -22,12 +23,12 @@
 };
 
 struct caller_answer {
-  bool whole = false;  // the answer came to its end
-  bool sent = false;   // some byte may have left
+  bool whole = false;  // the answer was read to its end
+  bool sent = false;   // request bytes may have reached the peer
   unsigned status = 0;
   std::string region;
   std::string ran;
-  std::string kind;  // of a refusal
+  std::string kind;  // error kind, for a status of 400 or more
   std::string retry_after;
   std::string replayed;
   transport::header_list headers;
@@ -36,13 +37,14 @@
   std::chrono::nanoseconds total{0};
 };
 
+/// Doesn't return errors: status 0 means that no answer was received.
 transport::awaitable<caller_answer> send(transport::http_client& client,
                                          caller_request request);
 
-/// Runs one request to its end on a loop of its own.
+/// Blocks until the answer is complete; uses an event loop of its own.
 caller_answer send_now(const caller_request& request);
 
-/// The best entry that a node names, or empty.
+/// Address of the first entry in the node's directory answer, or empty.
 std::string ask_directory(const std::string& address, const std::string& query);
 
 }  // namespace trestlepost::bench
--- a/bench/src/demo.cc
+++ b/bench/src/demo.cc
@@ -79,7 +79,7 @@
   const caller_answer other = send_now(booking);
   const bool refused = other.status == 422 && other.kind == "mismatch";
   ok = show("another call under the same key", other, refused) && ok;
-  std::cout << (ok ? "all answers are as they must be\n"
+  std::cout << (ok ? "all answers are as expected\n"
                    : "some answers are wrong\n");
   return ok ? 0 : 1;
 }
--- a/bench/src/demo.h
+++ b/bench/src/demo.h
@@ -1,5 +1,5 @@
-// The main job, shown: asks the directory, sends a plain and a streamed model
-// call and a booking that may not be repeated, and checks each answer.
+// Demonstration of a caller: queries the directory, sends a plain and a
+// streamed model call and a run-once booking, and checks each answer.
 #pragma once
 
 #include <string>
@@ -7,14 +7,14 @@
 namespace trestlepost::bench {
 
 struct demo_options {
-  std::string node;  // any node's callers' address
+  std::string node;  // callers' address of any node
   std::string token;
   std::string model;
   std::string plain_service;
   std::string plain_path;
 };
 
-/// 0 only if each answer was as it must be.
+/// Exit status: 0 only if every answer is as expected.
 int run_demo(const demo_options& options);
 
 }  // namespace trestlepost::bench
--- a/bench/src/endpoint.cc
+++ b/bench/src/endpoint.cc
@@ -27,15 +27,15 @@
 constexpr std::size_t characters_per_token = 4;
 constexpr std::size_t prefix_size = 512;
 constexpr std::uint64_t default_tokens = 16;
-// Tokens after the first that go out in one piece.
+// Tokens in one streamed piece, after a first piece with one token.
 constexpr std::uint64_t tokens_per_piece = 8;
 
-/// Prefixes whose state is in memory, the latest first.
+/// LRU cache of prompt prefixes.
 class prefix_cache {
  public:
   explicit prefix_cache(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Whether the prefix was there; it is afterwards.
+  /// Returns whether the prefix was cached, and makes it the most recent one.
   bool touch(std::uint64_t prefix) {
     const auto it = std::find(order_.begin(), order_.end(), prefix);
     const bool hit = it != order_.end();
@@ -50,7 +50,9 @@
   std::list<std::uint64_t> order_;
 };
 
-/// Faults that a test orders by POST /stand-in/fault?NAME.
+/// Faults that a test injects with POST /stand-in/fault?NAME; an unknown name
+/// ends the fault. `crossed` answers for another attempt, `duplicate` logs a
+/// run twice.
 enum class fault { none, fail, refuse, cut, crossed, hang, duplicate, slow };
 
 fault fault_from(std::string_view name) {
@@ -94,13 +96,17 @@
     unsigned waiting = 0;
   };
 
+  /// Reports the load as it was `report_lag` ago.
   awaitable<void> answer_load(http_exchange& exchange);
   awaitable<void> run(http_exchange& exchange, work item);
   awaitable<void> run_plain(http_exchange& exchange, work item);
   awaitable<void> run_model(http_exchange& exchange, work item);
+  /// Waits for a free slot by priority; false if the gateway disconnects first.
   awaitable<bool> take_slot(http_exchange& exchange, int priority);
   void release_slot();
+  /// Waits for `n` divided by the speed.
   awaitable<void> pause(microseconds n);
+  /// Decode time of one token at the present batch size.
   microseconds token_time() const;
   void log(const work& item, const char* phase) const;
   http_answer head_for(const work& item) const;
@@ -261,6 +267,7 @@
   log(item, "start");
   ++runs_;
   const bool cached = cache_.touch(item.prefix);
+  // A cached prefix leaves a tenth of the prompt to prefill.
   const std::uint64_t fresh =
       cached ? item.prompt_tokens / 10 + 1 : item.prompt_tokens;
   co_await pause(options_.prefill_per_token * fresh);
--- a/bench/src/endpoint.h
+++ b/bench/src/endpoint.h
@@ -1,5 +1,6 @@
-// A stand-in endpoint: a model engine with continuous batching and a prefix
-// cache, or a plain service. It reports its load late and logs what it ran.
+// Stand-in endpoint: simulates a model engine with continuous batching and a
+// prefix cache, or a plain service. Its load reports are delayed, and it logs
+// each run to a file.
 #pragma once
 
 #include <chrono>
@@ -14,11 +15,11 @@
   bool plain = false;
   unsigned slots = 8;
   std::string run_log;
-  /// All times are divided by this, so that a comparison ends soon.
+  /// All processing times are divided by this, to shorten a measurement.
   double speed = 1;
-  std::chrono::microseconds prefill_per_token{300};  // not in the cache
-  std::chrono::milliseconds decode_per_token{20};    // alone in the batch
-  double decode_slope = 0.05;  // more for each further request in the batch
+  std::chrono::microseconds prefill_per_token{300};  // per uncached token
+  std::chrono::milliseconds decode_per_token{20};    // with a batch of one
+  double decode_slope = 0.05;  // share added by each other running request
   std::chrono::milliseconds plain_time{20};
   std::chrono::milliseconds report_lag{200};
   std::size_t cached_prefixes = 40;
--- a/bench/src/load.cc
+++ b/bench/src/load.cc
@@ -23,6 +23,7 @@
 
 constexpr std::size_t characters_per_token = 4;
 
+/// A prompt that shares all but its last words with others of the same prefix.
 std::string prompt_of(const load_class& kind, std::uint64_t prefix,
                       std::uint64_t n) {
   std::string shared = kind.name + " prefix " + std::to_string(prefix) + " ";
@@ -32,6 +33,7 @@
   return shared + " request " + std::to_string(n);
 }
 
+/// Runs all classes on one event loop.
 class load_run {
  public:
   explicit load_run(const load_options& options)
@@ -53,6 +55,7 @@
     return out;
   }
 
+  /// Starts the requests of a class at the times of a Poisson process.
   awaitable<void> offer(const load_class& kind, std::size_t index);
   awaitable<void> send_one(const load_class& kind, std::uint64_t n,
                            std::uint64_t prefix, monotonic_time due,
@@ -72,6 +75,7 @@
   std::chrono::duration<double> at(0);
   transport::timer timer(io_);
   for (std::uint64_t n = 0;; ++n) {
+    // Exponential intervals, from a uniform value in (0, 1]: `scale` is 2^-64.
     constexpr double scale = 1.0 / 18446744073709551616.0;
     const double u = (static_cast<double>(random.next()) + 1) * scale;
     at += std::chrono::duration<double>(-std::log(u) / kind.rate);
@@ -119,7 +123,8 @@
   const monotonic_time sent_at = boot_clock::now();
   const caller_answer answer = co_await send(client_, std::move(request));
   if (!counted) co_return;
-  // Late starts of this tool count against the answer, not for it.
+  // Latency counts from the scheduled start, so that a delay of the load
+  // generator doesn't hide a slow answer.
   const std::chrono::nanoseconds late = sent_at - due;
   const auto as_ms = [](std::chrono::nanoseconds t) {
     return std::chrono::duration<double, std::milli>(t).count();
@@ -170,7 +175,7 @@
   out.service = reader.text_or("service", "");
   constexpr std::uint64_t most = 1'000'000;
   constexpr double per_thousand = 1000;
-  // Rates are whole requests in 1000 seconds, to allow small ones.
+  // An integer number of requests in 1000 seconds, to allow low rates.
   out.rate =
       static_cast<double>(reader.number_or("per_1000_s", 1000, 1, 100 * most)) /
       per_thousand;
--- a/bench/src/load.h
+++ b/bench/src/load.h
@@ -1,5 +1,5 @@
-// An open-loop load: requests start on schedule whether or not earlier ones
-// have ended, so that a stall is not hidden.
+// Open-loop load generator: requests start on schedule whether or not earlier
+// ones have ended, so that a stall shows in the latencies.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,8 @@
   std::string entry;  // callers' address
   std::string token;
   std::string target;
-  std::string service;  // for model calls: goes into the body
-  double rate = 1;      // a second
+  std::string service;  // value of "model" in the body of model calls
+  double rate = 1;      // mean requests per second
   unsigned prompt_tokens = 50;
   unsigned tokens = 8;
   unsigned prefixes = 4;  // distinct shared prefixes
@@ -25,7 +25,7 @@
   bool stream = false;
   bool run_once = false;
   bool model = true;
-  std::string home;  // region that answers should come from
+  std::string home;  // region that is expected to answer
 };
 
 struct load_options {
@@ -35,24 +35,25 @@
   unsigned seed = 1;
 };
 
-/// What became of one class. Times of its answers, in milliseconds, kept
-/// whole: a run has some ten thousand.
+/// Outcomes and latencies of one class. Every latency is stored, since a run
+/// has only some ten thousand requests.
 struct class_result {
   std::vector<double> first_ms;
   std::vector<double> total_ms;
   std::map<std::string, std::uint64_t> outcomes;
   std::uint64_t offered = 0;
-  std::uint64_t good = 0;  // whole, own, in time
-  std::uint64_t away = 0;  // of the good ones
+  std::uint64_t good = 0;  // complete, for this request, before the deadline
+  std::uint64_t away = 0;  // good answers from another region than `home`
 };
 
-/// The value below which the share `q` of the values lies; 0 for none.
+/// Nearest-rank quantile, `q` in [0, 1]; 0 without values.
 double quantile(std::vector<double> values, double q);
 
-/// Runs a load to its end; the results by class.
+/// Blocks until all requests have ended; returns the results by class name.
 std::map<std::string, class_result> run_load(const load_options& options);
 
-/// Reads a JSON-with-comments file.
+/// Runs the load described by a file of JSON with comments and prints the
+/// results. Exit status: 2 if the file is invalid.
 int run_load_file(const std::string& file, bool as_json);
 
 }  // namespace trestlepost::bench
--- a/bench/src/main.cc
+++ b/bench/src/main.cc
@@ -1,4 +1,4 @@
-// trestlepost-bench: stand-ins and load for tests and measurements.
+// trestlepost-bench: stand-ins and load generator for tests and measurements.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -14,7 +14,7 @@
 
 using trestlepost::bench::relay_link;
 
-/// "LISTEN=TARGET".
+/// Parses "LISTEN=TARGET"; an invalid text gives an empty link.
 relay_link parse_link(const std::string& text) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos) return {};
--- a/bench/src/relay.cc
+++ b/bench/src/relay.cc
@@ -27,16 +27,19 @@
 using error_code = boost::system::error_code;
 
 constexpr std::size_t buffer_size = 64UL * 1024;
+// The reader stops when this much waits for the link, so that TCP flow control
+// reaches the sender.
 constexpr std::size_t most_waiting = 4UL * 1024 * 1024;
 constexpr milliseconds cut_check{20};
 
-/// The second part of an IP number, which names the region here.
+/// The second octet of an IPv4 address, which identifies the region.
 std::string region_of(const tcp::endpoint& at) {
   const std::string ip = at.address().to_string();
   const std::size_t first = ip.find('.');
   return ip.substr(first + 1, ip.find('.', first + 1) - first - 1);
 }
 
+/// One direction between two regions.
 struct link_state {
   milliseconds delay{0};
   bool cut = false;
@@ -53,7 +56,7 @@
   }
 };
 
-/// Both directions of one connection.
+/// Sockets of a relayed connection.
 struct relayed_connection {
   explicit relayed_connection(transport::asio::io_context& io)
       : source(io), target(io) {}
@@ -72,6 +75,8 @@
   std::string data;
 };
 
+/// One direction of a connection: data that waits for the delay of the link.
+/// `wake` is cancelled when the queue changes.
 struct direction {
   explicit direction(transport::asio::io_context& io) : wake(io) {}
   std::deque<waiting_piece> queue;
@@ -119,7 +124,7 @@
       co_await way->wake.async_wait(redirect_error(use_awaitable, ec));
       continue;
     }
-    // A cut link carries nothing, and tells nobody.
+    // As in a network partition: nothing is sent and no connection is closed.
     while (link.cut && to.is_open()) co_await sleep_for(io, cut_check);
     const monotonic_time now = boot_clock::now();
     if (way->queue.front().due > now) {
@@ -217,7 +222,7 @@
     for (auto& [ends, it] : net_.links) {
       const bool matches = (from == "*" || from == ends.first) &&
                            (to == "*" || to == ends.second);
-      // "*" means the links between regions.
+      // "*" excludes links within a region.
       if (!matches || (ends.first == ends.second && from == "*")) continue;
       if (query.contains("cut")) it.cut = value("cut") == "1";
       if (query.contains("delay")) {
--- a/bench/src/relay.h
+++ b/bench/src/relay.h
@@ -1,5 +1,6 @@
-// A relay for TCP links: delays them, and cuts them silently. The region of a
-// connection's source is read from its IP number (127.REGION.x.y).
+// TCP relay that simulates network delay and partitions between regions. The
+// regions of a connection are read from the IP addresses of its ends
+// (127.REGION.x.y).
 #pragma once
 
 #include <string>
@@ -18,8 +19,10 @@
   unsigned delay_ms = 0;  // one way, between different regions
 };
 
-/// Runs until SIGTERM. POST /link?from=R&to=R&delay=MS or &cut=0|1 at the
-/// control address changes one direction; from=*&to=* changes all.
+/// Runs until SIGTERM. POST /link?from=R&to=R with &delay=MS or &cut=0|1 at the
+/// control address changes one direction; from=*&to=* changes all links between
+/// regions. A cut link drops no data and closes no connection: bytes wait until
+/// the link is restored.
 int run_relay(const relay_options& options);
 
 }  // namespace trestlepost::bench
--- a/bench/src/run_log.cc
+++ b/bench/src/run_log.cc
@@ -22,7 +22,7 @@
   constexpr int mode = 0644;
   const int fd = ::open(file.c_str(), O_WRONLY | O_APPEND | O_CREAT, mode);
   if (fd < 0) return;
-  // One write to a file opened for appending is not interleaved.
+  // A single write with O_APPEND is not interleaved with those of others.
   if (::write(fd, text.data(), text.size()) < 0) ::perror("run log");
   ::close(fd);
 }
--- a/bench/src/run_log.h
+++ b/bench/src/run_log.h
@@ -1,5 +1,5 @@
-// What the stand-in endpoints wrote down of each request that they ran, so
-// that runs are counted from outside the gateway.
+// Log file of the stand-in endpoints with a line for each start and end of a
+// run, so that tests count runs independently of the gateway.
 #pragma once
 
 #include <string>
@@ -16,10 +16,11 @@
   std::string phase;  // "start" or "end"
 };
 
-/// Appends one line; safe with several writers on one file.
+/// Appends one line; several processes may write to the same file. Does nothing
+/// without a file name.
 void append_run(const std::string& file, const run_record& record);
 
-/// All whole lines of a file.
+/// All records of a file; incomplete lines are skipped.
 std::vector<run_record> read_runs(const std::string& file);
 
 }  // namespace trestlepost::bench
--- a/bench/src/serve.h
+++ b/bench/src/serve.h
@@ -1,4 +1,4 @@
-// Runs a stand-in's HTTP server until it is told to end.
+// Runs the HTTP server of a stand-in until a signal ends it.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace trestlepost::bench {
 
-/// Serves on `address` until SIGTERM or SIGINT; the exit status.
+/// Serves on `address` until SIGTERM or SIGINT; returns the exit status, 1 if
+/// the address cannot be listened on.
 int serve_until_signal(transport::asio::io_context& io,
                        transport::http_handler& handler,
                        const std::string& address);
--- a/ctl/src/client.cc
+++ b/ctl/src/client.cc
@@ -16,7 +16,7 @@
 namespace http = boost::beast::http;
 using transport::tcp;
 
-// Between questions for a ticket; doubled each time up to the longest.
+// Poll interval for the result of a ticket; doubles up to the maximum.
 constexpr std::chrono::milliseconds first_ticket_interval{4};
 constexpr std::chrono::milliseconds longest_ticket_interval{100};
 constexpr std::uint64_t largest_answer = 256ULL * 1024 * 1024;
@@ -51,7 +51,7 @@
   const result<json> problem = parse_json(answer.body());
   if (!problem) {
     return tl::make_unexpected(
-        unreachable(address, "it does not speak the operators' interface"));
+        unreachable(address, "the answer is not from an operators' interface"));
   }
   return fail(error_kind_from(text_of(*problem, "kind")),
               text_of(*problem, "detail"), text_of(*problem, "remedy"));
@@ -69,7 +69,7 @@
 }
 
 result<json> client::call(const std::string& method, const json& params) {
-  result<json> answer = fail(error_kind::unavailable, "no node is named",
+  result<json> answer = fail(error_kind::unavailable, "no node is given",
                              "use --node IP:PORT or TRESTLEPOST_NODE");
   std::string address;
   for (const std::string& it : options_.nodes) {
@@ -82,7 +82,7 @@
   std::chrono::milliseconds interval = first_ticket_interval;
   while (answer && answer->isObject() && answer->isMember("ticket")) {
     if (std::chrono::steady_clock::now() >= end) {
-      return fail(error_kind::unavailable, "the call did not end in time",
+      return fail(error_kind::unavailable, "the call did not complete in time",
                   "run it again with the same --change-id");
     }
     std::this_thread::sleep_for(interval);
--- a/ctl/src/client.h
+++ b/ctl/src/client.h
@@ -1,4 +1,4 @@
-// Calls to the operators' interface of a node.
+// JSON-RPC client for the operators' interface of a node.
 #pragma once
 
 #include <chrono>
@@ -12,14 +12,15 @@
 struct client_options {
   std::vector<std::string> nodes;  // operators' addresses, tried in order
   std::string token;
-  std::chrono::milliseconds timeout{25'000};
+  std::chrono::milliseconds timeout{25'000};  // for the result of a ticket
 };
 
 class client {
  public:
   explicit client(client_options options) : options_(std::move(options)) {}
 
-  /// Calls a method on the first node that answers, and waits for slow ones.
+  /// Calls a method on the first available node. If the node answers with a
+  /// ticket, polls that node until the result is there or the timeout passes.
   result<json> call(const std::string& method, const json& params);
 
  private:
--- a/ctl/src/commands.cc
+++ b/ctl/src/commands.cc
@@ -109,7 +109,7 @@
   for (const config::edit& it : *edits) {
     json one = config::to_json(it);
     const json known = find_object((*now)["objects"], one);
-    // A named change is sent whole, so that sending it again is the same.
+    // A change with an id is sent in full, so that a retry is identical.
     const bool unchanged = known.isObject() && known["spec"] == one["spec"];
     if (unchanged && options.change_id.empty()) continue;
     one["base"] = known.isObject() ? known["revision"] : json(Json::UInt64(0));
@@ -153,8 +153,8 @@
   return report({error_kind::unavailable,
                  "revision " + std::to_string(revision) +
                      " is not yet in force on " + behind,
-                 "those nodes are cut off and serve only their own region; "
-                 "restore their links"});
+                 "those nodes are partitioned and serve only their own region; "
+                 "restore their network links"});
 }
 
 int commands::get(const std::string& kind, const std::string& name) {
@@ -193,8 +193,8 @@
     const std::optional<std::chrono::milliseconds> back =
         parse_duration(options.since);
     if (!back) {
-      return report({error_kind::bad_input, "--since is not understood",
-                     "write for example --since \"2 h\""});
+      return report({error_kind::bad_input, "--since is not a duration",
+                     "use for example --since \"2 h\""});
     }
     const std::int64_t from =
         to_unix_ms(std::chrono::system_clock::now() - *back);
@@ -262,7 +262,7 @@
 int commands::recover(bool accepted) {
   if (!accepted) {
     return report({error_kind::bad_input,
-                   "changes that only the lost nodes held would be gone",
+                   "changes that only the lost nodes stored would be lost",
                    "bring one of them back, or repeat with --accept-loss"});
   }
   const result<json> answer = rpc_.call("recover", json(Json::objectValue));
@@ -281,7 +281,7 @@
   json out;
   out["objects"] = json(Json::UInt64(edits->size()));
   return print(
-      out, file + ": sound, " + std::to_string(edits->size()) + " objects\n");
+      out, file + ": valid, " + std::to_string(edits->size()) + " objects\n");
 }
 
 }  // namespace trestlepost::ctl
--- a/ctl/src/commands.h
+++ b/ctl/src/commands.h
@@ -1,4 +1,5 @@
-// The commands of `trestlepost`. Each returns an exit code.
+// The commands of `trestlepost`. Each calls a node, prints the answer and
+// returns an exit code.
 #pragma once
 
 #include <optional>
@@ -8,7 +9,7 @@
 
 namespace trestlepost::ctl {
 
-/// Documented in docs/INTERFACES.md.
+/// Public interface, documented in docs/INTERFACES.md.
 namespace exit_codes {
 inline constexpr int ok = 0;
 inline constexpr int refused = 1;
@@ -33,7 +34,7 @@
   std::string operator_name;
   std::string kind;
   std::string name;
-  std::string since;  // a duration back from now, as "2 h"
+  std::string since;  // maximum age, for example "2 h"; empty: no limit
   std::uint64_t limit = 50;
 };
 
@@ -58,16 +59,20 @@
   int explain(const explain_options& options);
   int drain_endpoint(const std::string& name, bool undo);
   int drain_node();
-  /// Requests that are held back, since endpoints crash of them.
+  /// Lists requests that are held because they crash endpoints.
   int held();
   int release(const std::string& fingerprint, const std::string& change_id);
+  /// Refuses unless the loss of changes is accepted.
   int recover(bool accepted);
+  /// Validates a file as a full configuration, without a node.
   int check(const std::string& file);
 
  private:
+  /// Prints the error and returns its exit code.
   int report(const error& cause) const;
   int print(const json& answer, const std::string& text) const;
   int send_change(const json& params, bool wait);
+  /// Polls the status until all nodes have the revision.
   int wait_in_force(std::uint64_t revision);
 
   client& rpc_;
--- a/ctl/src/config_file.cc
+++ b/ctl/src/config_file.cc
@@ -8,9 +8,9 @@
 namespace trestlepost::ctl {
 namespace {
 
-constexpr char mend_remedy[] = "mend the file and try again";
+constexpr char mend_remedy[] = "correct the file and try again";
 
-/// Operators write the token itself; only its hash leaves this machine.
+/// Files contain the token itself; only its hash is sent to a node.
 void hash_token(json& spec) {
   if (!spec.isObject() || !spec["token"].isString()) {
     if (spec.isObject()) spec.removeMember("token");
--- a/ctl/src/config_file.h
+++ b/ctl/src/config_file.h
@@ -1,4 +1,4 @@
-// Configuration files that operators apply: JSON with comments, one list for
+// Parser for configuration files of operators: JSON with comments, one list for
 // each kind of object.
 #pragma once
 
@@ -9,9 +9,10 @@
 
 namespace trestlepost::ctl {
 
-/// Reads a file's text into edits. A caller's "token" is replaced by its
-/// hash. The objects are checked each for itself; with `whole`, also that
-/// they fit together, as in a file that holds a whole configuration.
+/// Parses the text of `file` into edits. A caller's "token" is replaced by its
+/// hash. Validates each object; with `whole`, for a file with a full
+/// configuration, also the references between objects. The error names the line
+/// of each problem.
 result<std::vector<config::edit>> read_config(const std::string& text,
                                               const std::string& file,
                                               bool whole);
--- a/ctl/src/main.cc
+++ b/ctl/src/main.cc
@@ -1,4 +1,4 @@
-// trestlepost: the operators' client.
+// trestlepost: the command line client for operators.
 #include <CLI/CLI.hpp>
 #include <cstdlib>
 #include <fstream>
@@ -48,26 +48,28 @@
   std::string token_file;
   std::string output = "text";
   app.add_option("--node", connection.nodes,
-                 "operators' address of a node; may be given again")
+                 "operators' address of a node; may be repeated")
       ->envname("TRESTLEPOST_NODE");
   app.add_option("--token-file", token_file,
-                 "file with the operator's token (else TRESTLEPOST_TOKEN)");
+                 "file with the operator's token (default: TRESTLEPOST_TOKEN)");
   app.add_option("--output", output, "text or json")
       ->check(CLI::IsMember({"text", "json"}));
 
-  app.add_subcommand("init", "found the configuration group, once");
+  app.add_subcommand("init", "found the configuration group; only once");
   app.add_subcommand("status", "show nodes, groups and endpoints");
   app.add_subcommand("completion", "print a completion script for bash");
 
   trestlepost::ctl::apply_options apply;
   CLI::App* apply_command = app.add_subcommand("apply", "apply a file");
   apply_command->add_option("-f,--file", apply.file, "the file")->required();
-  apply_command->add_option("--change-id", apply.change_id,
-                            "name the change, to send it again safely");
-  apply_command->add_option("--if-revision", apply.if_revision,
-                            "refuse unless at this revision");
+  apply_command->add_option(
+      "--change-id", apply.change_id,
+      "id of the change, so that it can be retried safely");
+  apply_command->add_option(
+      "--if-revision", apply.if_revision,
+      "refuse unless the configuration is at this revision");
   apply_command->add_flag("--wait", apply.wait,
-                          "wait until it is in force on every node");
+                          "wait until the change is in force on every node");
 
   std::string kind;
   std::string name;
@@ -86,7 +88,8 @@
   audit_command->add_option("--operator", audit.operator_name);
   audit_command->add_option("--kind", audit.kind);
   audit_command->add_option("--name", audit.name);
-  audit_command->add_option("--since", audit.since, "as \"2 h\"");
+  audit_command->add_option("--since", audit.since,
+                            "maximum age, for example \"2 h\"");
   audit_command->add_option("--limit", audit.limit);
 
   trestlepost::ctl::explain_options explain;
@@ -96,34 +99,33 @@
   explain_command->add_option("--service", explain.service)->required();
   explain_command->add_option("--labels", explain.labels, "key=value,...");
   explain_command->add_flag("--run-once", explain.run_once,
-                            "as a request with an idempotency key");
+                            "explain a request with an idempotency key");
 
   bool undo = false;
   bool this_node = false;
   std::string endpoint;
   CLI::App* drain_command =
-      app.add_subcommand("drain", "send an endpoint no new requests");
+      app.add_subcommand("drain", "stop sending new requests to an endpoint");
   drain_command->add_option("endpoint", endpoint);
-  drain_command->add_flag("--undo", undo, "let it take requests again");
+  drain_command->add_flag("--undo", undo, "send requests to it again");
   drain_command->add_flag("--this-node", this_node,
-                          "stop the node that --node names, after its work");
+                          "stop the node of --node when its requests end");
 
-  app.add_subcommand("held",
-                     "show requests that are sent to no endpoint any more");
+  app.add_subcommand("held", "show held requests, which no endpoint receives");
   std::string fingerprint;
-  CLI::App* release_command = app.add_subcommand(
-      "release", "let a request that was held be sent to endpoints again");
+  CLI::App* release_command =
+      app.add_subcommand("release", "send a held request to endpoints again");
   release_command->add_option("fingerprint", fingerprint)->required();
   release_command->add_option("--change-id", change_id);
 
   bool accept_loss = false;
   CLI::App* recover_command = app.add_subcommand(
-      "recover", "go on from one control node's disk after a lost majority");
+      "recover", "continue from one control node's disk after a lost majority");
   recover_command->add_flag("--accept-loss", accept_loss,
-                            "changes that only lost nodes held are gone");
+                            "accept the loss of changes on the lost nodes");
 
   std::string file;
-  CLI::App* check_command = app.add_subcommand("check", "check a file");
+  CLI::App* check_command = app.add_subcommand("check", "validate a file");
   check_command->add_option("file", file)->required();
 
   CLI11_PARSE(app, argc, argv);
--- a/ctl/src/print.h
+++ b/ctl/src/print.h
@@ -1,4 +1,4 @@
-// Text for people from the answers of a node.
+// Formats the answers of a node as text for operators.
 #pragma once
 
 #include <string>
--- a/ctl/test/config_file-test.cc
+++ b/ctl/test/config_file-test.cc
@@ -1,3 +1,5 @@
+// Tests the parser of configuration files: token hashes, error positions and
+// validation.
 #include "config_file.h"
 
 #include <gtest/gtest.h>
--- a/soak/src/main.cc
+++ b/soak/src/main.cc
@@ -1,4 +1,4 @@
-// trestlepost-soak: plays seeds and says what did not hold.
+// trestlepost-soak: injects faults from seeds and reports violated guarantees.
 #include <CLI/CLI.hpp>
 #include <iomanip>
 #include <iostream>
@@ -21,7 +21,7 @@
   std::uint64_t last = 1;
 };
 
-/// "7" or "1..50".
+/// Parses "7" or "1..50"; false if the text is no such range.
 bool read_range(const std::string& text, seed_range& out) {
   const std::size_t dots = text.find("..");
   try {
@@ -62,19 +62,19 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Plays faults on a deployment of real nodes, from seeds"};
+  CLI::App app{"Injects seeded faults into a deployment of real nodes"};
   std::string seeds = "1";
   unsigned seconds = 20;
   app.add_option("--seed,--seeds", seeds, "N, or A..B");
-  app.add_option("--seconds", seconds, "how long faults go on, of each seed");
+  app.add_option("--seconds", seconds, "duration of the faults of each seed");
   CLI11_PARSE(app, argc, argv);
   seed_range range;
   if (!read_range(seeds, range)) {
-    std::cerr << "\"" << seeds << "\" is no seed; write N, or A..B\n";
+    std::cerr << "\"" << seeds << "\" is not a seed range; write N or A..B\n";
     return exit_bad_usage;
   }
   std::cout << "  seed  faults  answered  refused  failed  plans  reads  "
-               "back, ms\n";
+               "heal, ms\n";
   bool held = true;
   for (std::uint64_t seed = range.first; seed <= range.last; ++seed) {
     const soak_result it = run_soak({seed, std::chrono::seconds(seconds)});
--- a/soak/src/request_record.cc
+++ b/soak/src/request_record.cc
@@ -5,7 +5,7 @@
 namespace trestlepost::soak {
 namespace {
 
-/// Whether the status promises that the request did not run and never will.
+/// Whether the status guarantees that the request has not run and will not run.
 bool promises_not_run(unsigned status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -18,7 +18,7 @@
       "request " + it.id + " (status " + std::to_string(it.status) + ")";
   if (it.status == 200) {
     ++answered_;
-    if (ran.empty()) found_.push_back(who + " was answered and never ran");
+    if (ran.empty()) found_.push_back(who + " was answered but did not run");
   } else if (promises_not_run(it.status)) {
     ++refused_;
     if (!ran.empty()) found_.push_back(who + " ran at " + ran.front());
@@ -26,13 +26,13 @@
     ++failed_;
   }
   if (it.kind == request_kind::run_once && ran.size() > 1) {
-    found_.push_back(who + " ran at " + ran[0] + " and at " + ran[1]);
+    found_.push_back(who + " ran twice: at " + ran[0] + " and at " + ran[1]);
   }
   if (it.kind != request_kind::bound) return;
   for (const std::string& endpoint : ran) {
     const bool home =
         std::find(home_.begin(), home_.end(), endpoint) != home_.end();
-    if (!home) found_.push_back(who + " left its home for " + endpoint);
+    if (!home) found_.push_back(who + " ran outside its home at " + endpoint);
   }
 }
 
--- a/soak/src/request_record.h
+++ b/soak/src/request_record.h
@@ -1,4 +1,6 @@
-// What callers were told of their requests, and what must hold of it.
+// Compares the answers that callers received with the runs that the endpoints
+// logged: an answered request ran and a refused one did not, a run-once request
+// ran at most once, and a region-bound one ran only at home.
 #pragma once
 
 #include <string>
@@ -10,23 +12,23 @@
 
 enum class request_kind { repeatable, run_once, bound };
 
-/// One try of a caller, and what it was told.
+/// A request of a caller and the status that the caller received.
 struct caller_request_record {
   std::string id;
   request_kind kind = request_kind::repeatable;
-  unsigned status = 0;  // 0: no answer, or none that was whole
+  unsigned status = 0;  // 0: no answer, or an incomplete one
 };
 
-/// The endpoints that ran a request, as they saw it themselves.
+/// The endpoints that logged a run of a request, one entry for each run.
 using endpoint_list = std::vector<std::string>;
 
 class request_record {
  public:
-  /// `home`: the endpoints that bound requests may run at.
+  /// `home`: the endpoints that may run bound requests.
   request_record(violations& found, endpoint_list home)
       : found_(found), home_(std::move(home)) {}
 
-  /// Checks one request once nothing can run any more.
+  /// Checks one request; call it after all runs have ended.
   void check(const caller_request_record& it, const endpoint_list& ran);
 
   int answered() const { return answered_; }
--- a/soak/src/schedule.cc
+++ b/soak/src/schedule.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-// A node that lost its disk is a voter again within this time.
+// Time in which a control node that lost its disk becomes a voter again.
 constexpr milliseconds repair_time{5000};
 constexpr milliseconds shortest_gap{300};
 constexpr milliseconds longest_gap{2500};
@@ -28,7 +28,7 @@
     std::uniform_int_distribution<std::size_t> any(0, all.size() - 1);
     return all[any(engine_)];
   }
-  /// The next fault of one of `nodes`, after `from`.
+  /// A random fault of one of `nodes` that begins after `from`.
   fault draw(const std::vector<std::string>& nodes,
              const std::vector<fault_kind>& kinds, milliseconds from) {
     fault out;
--- a/soak/src/schedule.h
+++ b/soak/src/schedule.h
@@ -1,5 +1,5 @@
-// Which faults strike which nodes, and when: drawn from a seed, and the same
-// each time.
+// Generates a schedule of faults from a seed; the same seed gives the same
+// schedule.
 #pragma once
 
 #include <chrono>
@@ -23,7 +23,7 @@
   fault_kind kind = fault_kind::kill;
   std::string node;
   std::chrono::milliseconds begin{0};
-  /// When the node runs again.
+  /// When the fault ends; equal to `begin` for a reload.
   std::chrono::milliseconds end{0};
 };
 
@@ -33,8 +33,9 @@
   std::chrono::milliseconds span{0};
 };
 
-/// Faults by their begin. One control node is struck at a time, so that a
-/// majority stays; those of entries overlap with them and with each other.
+/// Returns the faults ordered by `begin`. At most one control node is faulty at
+/// a time, so that a majority remains. Faults of different entries overlap with
+/// those of control nodes and with each other.
 std::vector<fault> draw_schedule(std::uint64_t seed,
                                  const schedule_options& options);
 
--- a/soak/src/soak_run.cc
+++ b/soak/src/soak_run.cc
@@ -36,10 +36,10 @@
 constexpr milliseconds order_patience{1000};
 constexpr milliseconds caller_patience{3000};
 constexpr unsigned most_extra_routes = 400;
-// Until everything is served again once all nodes run.
+// Allowed time from the end of the last fault until all nodes serve.
 constexpr milliseconds longest_recovery{15'000};
 
-/// Callers, operators and readers, on one loop in a thread of their own. They
+/// Callers, operators and readers on one event loop in a separate thread. They
 /// keep their connections open.
 class traffic {
  public:
@@ -54,7 +54,7 @@
   }
   ~traffic() { end(); }
 
-  /// Lets what is under way come to its end.
+  /// Starts no new calls and waits for those in progress.
   void end() {
     ended_ = true;
     if (thread_.joinable()) thread_.join();
@@ -76,8 +76,11 @@
     co_await timer.async_wait(boost::asio::use_awaitable);
   }
 
+  /// Sends requests of random kinds, one at a time.
   awaitable<void> call(std::string entry);
+  /// Sends new plans; repeats each until it is acknowledged or invalid.
   awaitable<void> operate();
+  /// Reads plans from random control nodes.
   awaitable<void> read();
 
   deployment& deployment_;
@@ -188,7 +191,7 @@
       of.process_of(it.node).signal(SIGCONT);
       break;
     case fault_kind::stop:
-      // Ends it, should it not have come to its end by now.
+      // The node may not have exited yet.
       of.kill(it.node);
       of.start(it.node);
       break;
@@ -197,7 +200,7 @@
   }
 }
 
-/// Plays the schedule; returns when all faults have ended.
+/// Injects the faults of the schedule; returns when all have ended.
 void play(deployment& of, const std::vector<fault>& schedule) {
   const steady_clock::time_point start = steady_clock::now();
   std::multimap<milliseconds, std::function<void()>> actions;
@@ -233,9 +236,9 @@
   out.recovery =
       std::chrono::duration_cast<milliseconds>(steady_clock::now() - healed);
   if (!again || out.recovery > longest_recovery) {
-    out.found.push_back("not served again " +
+    out.found.push_back("not all nodes serve " +
                         std::to_string(out.recovery.count()) +
-                        " ms after all nodes ran");
+                        " ms after the end of the last fault");
   }
 }
 
--- a/soak/src/soak_run.h
+++ b/soak/src/soak_run.h
@@ -1,5 +1,5 @@
-// One seed: a small deployment of real nodes under faults, with callers and
-// operators that go on meanwhile.
+// Runs a small deployment of real nodes under the faults of one seed, with
+// concurrent callers, operators and readers.
 #pragma once
 
 #include <chrono>
@@ -22,10 +22,10 @@
   int failed = 0;
   int acknowledged = 0;
   int reads = 0;
-  /// From the last heal until everything served again.
+  /// Time from the end of the last fault until all nodes serve.
   std::chrono::milliseconds recovery{0};
   violations found;
-  /// Logs, kept when something was found.
+  /// Folder with the nodes' logs; kept only if there are violations.
   std::string folder;
 };
 
--- a/soak/test/plan_record-test.cc
+++ b/soak/test/plan_record-test.cc
@@ -1,4 +1,4 @@
-// Each check catches what it is there for.
+// Tests that plan_record reports each violation and no valid history.
 #include "plan_record.h"
 
 #include <gtest/gtest.h>
--- a/soak/test/request_record-test.cc
+++ b/soak/test/request_record-test.cc
@@ -1,4 +1,4 @@
-// Each check catches what it is there for.
+// Tests that request_record reports each violation and no valid outcome.
 #include "request_record.h"
 
 #include <gtest/gtest.h>
--- a/soak/test/schedule-test.cc
+++ b/soak/test/schedule-test.cc
@@ -1,3 +1,5 @@
+// Tests that schedules are reproducible, leave a majority of control nodes and
+// contain every kind of fault.
 #include "schedule.h"
 
 #include <gtest/gtest.h>
@@ -49,7 +51,7 @@
       busy_until = std::max(busy_until, it.end);
     }
   }
-  EXPECT_EQ(seen.size(), 9U);  // entries have no disk to lose
+  EXPECT_EQ(seen.size(), 9U);  // 5 kinds; entries have no disk to wipe
   EXPECT_TRUE(overlap);
 }
 
--- a/support/jobs.sh
+++ b/support/jobs.sh
@@ -1,8 +1,9 @@
 # shellcheck shell=bash
-# Sourced: runs commands beside each other and collects what became of them.
-#   begin NAME COMMAND...   starts one and keeps what it prints
-#   collect                 waits for all, prints each, in the order of their
-#                           beginning; status 1 when any has failed
+# Functions for parallel commands; sourced by other scripts.
+#   timed COMMAND...        runs a command, prints its status and duration
+#   begin NAME COMMAND...   starts a command in the background
+#   collect                 waits for all, prints their output in the order in
+#                           which they were started; status 1 if any failed
 jobs_folder=$(mktemp -d)
 declare -A job_ids=()
 job_names=()
@@ -26,7 +27,7 @@
 begin() {
   local name=$1
   shift
-  set -m  # a process group of its own, which end_jobs can end as a whole
+  set -m  # a separate process group, so that end_jobs can kill all of it
   timed "$@" < /dev/null > "$jobs_folder/$name" 2>&1 &
   set +m
   job_ids[$name]=$!
--- a/support/packages.cmake
+++ b/support/packages.cmake
@@ -14,7 +14,7 @@
 endfunction()
 
 # Declares a test program. `support/test` fixes RapidCheck's seed by RC_PARAMS,
-# so that every run of CI gives the same verdict.
+# so that CI runs are reproducible.
 function(trestlepost_test name)
   if(NOT TRESTLEPOST_TESTS)
     return()
@@ -24,8 +24,8 @@
   set_tests_properties(${name} PROPERTIES TIMEOUT 600)
 endfunction()
 
-# Declares a test program over real processes. ctest runs each of its cases by
-# itself, several at once: a deployment under test has addresses of its own.
+# Declares a test program that runs real processes. ctest runs each of its cases
+# separately and in parallel: each deployment under test has its own addresses.
 function(trestlepost_system_test name)
   trestlepost_test_program(${name} ${ARGN})
   add_dependencies(${name}-test trestlepostd trestlepost trestlepost-bench)
--- a/tests/test/bad-input-test.cc
+++ b/tests/test/bad-input-test.cc
@@ -1,4 +1,5 @@
-// Bad input against the running daemon, on each of its ports.
+// Tests that invalid requests get their typed error and that malformed bytes on
+// any port don't disturb a node.
 #include <gtest/gtest.h>
 
 #include <boost/asio/ip/tcp.hpp>
--- a/tests/test/cli-test.cc
+++ b/tests/test/cli-test.cc
@@ -1,4 +1,4 @@
-// The operators' client and the daemon as programs: exit codes and output.
+// Tests exit codes and output of the command line client and the daemon.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/test/cluster.cc
+++ b/tests/test/cluster.cc
@@ -24,7 +24,7 @@
 constexpr int operators_port = 7002;
 constexpr int peers_port = 7003;
 constexpr int endpoint_port = 9000;
-constexpr int own_region = 20;  // of the platform and the relay's control
+constexpr int own_region = 20;  // octet of the platform and the relay control
 
 struct region_place {
   const char* name;
--- a/tests/test/cluster.h
+++ b/tests/test/cluster.h
@@ -1,5 +1,6 @@
-// A deployment of real processes: seven nodes in three regions, stand-in
-// endpoints, a platform list, and a relay on the links between nodes.
+// Deployment of real processes for system tests: seven nodes in three regions,
+// stand-in endpoints, a stand-in platform list, and a relay on the links
+// between nodes that delays and cuts them.
 #pragma once
 
 #include <chrono>
@@ -19,16 +20,16 @@
 namespace trestlepost::test {
 
 struct cluster_options {
-  unsigned delay_ms = 5;   // one way, between regions
-  unsigned endpoints = 2;  // of the model, in each region
-  double speed = 4;        // of the stand-ins
+  unsigned delay_ms = 5;   // one way, between regions, in ms
+  unsigned endpoints = 2;  // model endpoints in each region
+  double speed = 4;        // factor on the speed of the stand-ins
   unsigned plain_ms = 20;
   unsigned slots = 8;
   std::string policy = "weighed";
   std::string away_penalty = "100 ms";
   unsigned election_timeout_ms = 400;
   unsigned snapshot_every = 100;
-  bool default_timing = false;  // as shipped, instead of faster
+  bool default_timing = false;  // use shipped timing, not shorter intervals
 };
 
 class cluster {
@@ -36,44 +37,49 @@
   explicit cluster(cluster_options options = {});
   ~cluster();
 
-  /// Founds, applies the configuration and waits until all nodes serve.
+  /// Starts the nodes, founds the group, applies the configuration and waits
+  /// until all nodes serve. Throws if that takes too long.
   void bring_up();
   void start_nodes();
 
   void start_node(const std::string& name);
-  void kill_node(const std::string& name);
-  void freeze_node(const std::string& name);
-  void thaw_node(const std::string& name);
-  void stop_node(const std::string& name);  // SIGTERM, does not wait
+  void kill_node(const std::string& name);    // SIGKILL
+  void freeze_node(const std::string& name);  // SIGSTOP
+  void thaw_node(const std::string& name);    // SIGCONT
+  void stop_node(const std::string& name);    // SIGTERM, does not wait
+  /// Waits until the node exits; returns its exit status.
   int wait_node(const std::string& name);
+  /// Removes the data folder of a node that doesn't run.
   void wipe_node(const std::string& name);
   bool node_running(const std::string& name);
 
   void kill_endpoint(const std::string& name);
   void start_endpoint(const std::string& name);
-  /// Orders a fault of a stand-in; "none" ends it.
+  /// Injects a fault into a stand-in endpoint; "none" ends it.
   void fault(const std::string& endpoint, const std::string& name);
+  /// Sets the state of the endpoint's VM in the platform list.
   void platform_says(const std::string& endpoint, bool leaving);
 
-  /// Cuts both directions between two regions, or ("*") all.
+  /// Cuts both directions between two regions; "*" stands for all regions.
   void cut(const std::string& from, const std::string& to);
   void heal();
 
-  /// An operators' call to a node.
+  /// Calls a method of the node's operators' interface.
   result<json> rpc(const std::string& node, const std::string& method,
                    const json& params = json(Json::objectValue));
-  /// Applies objects to a node: {"regions": [...], ...}. Waits for the result.
+  /// Applies objects ({"regions": [...], ...}) at a node and waits for the
+  /// result.
   result<json> apply(const std::string& node, const std::string& text,
                      const std::string& change_id = "",
                      std::optional<std::uint64_t> if_revision = std::nullopt);
   json status(const std::string& node);
   std::uint64_t revision(const std::string& node);
   std::string state(const std::string& node);
-  /// The control node that leads now, or empty.
+  /// The control node that leads the configuration group, or empty.
   std::string leader();
-  /// Waits until a control node leads; throws when none does in time.
+  /// Waits until a control node leads; throws if none does in time.
   std::string wait_for_leader();
-  /// From the node's data folder; 0 when there is none.
+  /// Read from the node's data folder; 0 if there is none.
   std::uint64_t incarnation(const std::string& node) const;
 
   bench::caller_request model_request(const std::string& node,
@@ -84,7 +90,7 @@
                                 const std::string& key,
                                 const std::string& body = R"({"slot":"1"})");
 
-  /// Runs begun, of a request id or a key, in any region.
+  /// Started runs in any region, by request id, by idempotency key, or all.
   std::vector<bench::run_record> runs_of(const std::string& request_id) const;
   std::vector<bench::run_record> runs_of_key(const std::string& key) const;
   std::vector<bench::run_record> all_runs() const;
@@ -94,14 +100,14 @@
   std::string address(const std::string& node, int port) const;
   std::string endpoint_address(const std::string& endpoint) const;
   const std::string& folder() const { return folder_; }
-  /// The last lines of a node's log, for messages.
+  /// The end of a node's log, for failure messages.
   std::string log_of(const std::string& node) const;
 
-  /// CPU time that a node has used.
+  /// CPU time used by a node.
   std::chrono::milliseconds cpu_of(const std::string& node) const;
   /// Resident memory of a node, in bytes.
   std::uint64_t memory_of(const std::string& node) const;
-  /// Bytes that a node has sent to peers.
+  /// Bytes sent by a node to its peers.
   std::uint64_t peer_bytes_of(const std::string& node);
 
  private:
@@ -126,7 +132,7 @@
   void control_relay(const std::string& query);
 
   cluster_options options_;
-  loopback_range range_;  // given back last, when no process uses it
+  loopback_range range_;  // before processes_: released after they have ended
   std::string platform_address_;
   std::string relay_control_;
   std::string folder_;
@@ -135,7 +141,7 @@
   std::map<std::string, process> processes_;
 };
 
-/// Waits until `holds` is true; a bounded time.
+/// Polls `holds` until it is true or `limit` has passed; returns its value.
 bool eventually(const std::function<bool()>& holds,
                 std::chrono::seconds limit = std::chrono::seconds(30));
 
--- a/tests/test/configuration-faults-test.cc
+++ b/tests/test/configuration-faults-test.cc
@@ -1,4 +1,5 @@
-// The configuration under kills, freezes, lost disks, cuts and races.
+// Tests that the configuration stays consistent and available under killed and
+// suspended leaders, lost disks, partitions and concurrent changes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -43,7 +44,7 @@
   return {};
 }
 
-/// Whether all three control nodes vote under their present incarnation.
+/// Whether all three control nodes are voters with their current incarnation.
 bool fully_repaired(cluster& it) {
   const std::string leader = it.leader();
   if (leader.empty()) return false;
@@ -191,8 +192,8 @@
   const std::string home = region_of(it.wait_for_leader());
   const std::string away = home == "golfo" ? "stretto" : "golfo";
   it.cut(home, away);
-  // A restarted gateway is ready only once the leader has confirmed its
-  // revision, which the third region can ask for.
+  // A restarted gateway becomes ready only after the leader has confirmed its
+  // revision; a node of the third region forwards the request.
   const std::string gateway = away + "-2";
   it.kill_node(gateway);
   it.start_node(gateway);
@@ -210,7 +211,7 @@
     const result<json> outcome =
         it.apply(leader, region_with(std::to_string(i)));
     ASSERT_EQ(status_of(outcome), "accepted") << i;
-    // The node's own copy may follow a moment later.
+    // it.revision(leader) may still be older than the result.
     revision = number_of(*outcome, "revision");
   }
   for (const std::string& node : it.nodes()) it.kill_node(node);
--- a/tests/test/held-requests-test.cc
+++ b/tests/test/held-requests-test.cc
@@ -1,5 +1,5 @@
-// The product's own callers: a request under which endpoints end is held back,
-// listed for operators, and released by them.
+// Tests that a request that repeatedly crashes endpoints is held in all
+// regions, listed for operators and released by them.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -13,11 +13,11 @@
 using bench::caller_request;
 
 constexpr int most_rounds = 8;
-/// How long an endpoint that has ended is away.
+/// Time between the crash of an endpoint and its restart.
 constexpr std::chrono::milliseconds down_time{1000};
 
-/// A request of a caller that is bound to golfo, the same each time but for its
-/// id. It runs for a while.
+/// A long-running request of a caller that is bound to golfo. Requests differ
+/// only in their id, so that they have the same fingerprint.
 caller_request long_request(cluster& it, const std::string& node) {
   caller_request out = it.model_request(node, "mainland");
   json body = *parse_json(out.body);
@@ -26,7 +26,7 @@
   return out;
 }
 
-/// The endpoint that runs the request, or empty when none does in time.
+/// The endpoint that runs the request, or empty if none starts it in time.
 std::string runner_of(const cluster& it, const std::string& request_id) {
   std::string out;
   eventually(
@@ -39,7 +39,8 @@
   return out;
 }
 
-/// Sends the request and ends the endpoint that runs it.
+/// Sends the request, kills the endpoint that runs it and restarts the
+/// endpoint.
 caller_answer run_and_end_endpoint(cluster& it, const std::string& node) {
   const caller_request request = long_request(it, node);
   caller_answer answer;
--- a/tests/test/loopback_range.h
+++ b/tests/test/loopback_range.h
@@ -1,13 +1,14 @@
-// Loopback addresses for one deployment under test.
+// Allocates loopback addresses for one deployment under test.
 #pragma once
 
 #include <string>
 
 namespace trestlepost::test {
 
-/// A range of addresses that no other deployment under test uses, in whatever
-/// process or build folder: 127.REGION.(10 * n + kind).number for one n. It is
-/// held by a bound socket, so that it is free again when the process ends.
+/// A range of addresses that no other deployment under test on this machine
+/// uses: 127.REGION.(10 * n + kind).number for one n. A bound socket reserves
+/// the range, so that the kernel releases it when the process ends. The
+/// constructor throws if every range is in use.
 class loopback_range {
  public:
   loopback_range();
@@ -15,10 +16,11 @@
   loopback_range(const loopback_range&) = delete;
   loopback_range& operator=(const loopback_range&) = delete;
 
-  /// `kind` is 1 to 9.
+  /// Returns the address; `kind` is 1 to 9.
   std::string ip(int region, int kind, int number) const;
 
  private:
+  /// Binds the marker socket of the range; false if another process has it.
   bool hold(int range);
 
   int socket_ = -1;
--- a/tests/test/process.cc
+++ b/tests/test/process.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// The processes that still run; they are ended when the test is.
+/// Running children; they are killed when a signal ends the test.
 std::vector<pid_t>& running_children() {
   static std::vector<pid_t> all;
   return all;
@@ -51,8 +51,8 @@
   posix_spawn_file_actions_addopen(&actions, 1, log.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, mode);
   posix_spawn_file_actions_adddup2(&actions, 1, 2);
-  // The sockets of the test's own stand-ins: held open by a child as well,
-  // they would outlive the stand-in that closes them.
+  // Closes inherited sockets: those of stand-ins in the test process would
+  // otherwise stay open in the child after the stand-in closes them.
   constexpr int first_beyond_standard = 3;
   posix_spawn_file_actions_addclosefrom_np(&actions, first_beyond_standard);
   const int failed = ::posix_spawn(&id_, arguments[0], &actions, nullptr,
@@ -107,7 +107,7 @@
   std::ifstream in("/proc/" + std::to_string(id_) + "/stat");
   std::string text;
   std::getline(in, text);
-  // The name may hold blanks; the fields after it are numbered from 3.
+  // The process name may contain blanks; the fields after it start with no. 3.
   std::istringstream rest(text.substr(text.rfind(')') + 2));
   std::string field;
   std::int64_t ticks = 0;
--- a/tests/test/process.h
+++ b/tests/test/process.h
@@ -1,4 +1,4 @@
-// A child process of a test.
+// Child process of a test; it is killed when the object or the test ends.
 #pragma once
 
 #include <sys/types.h>
@@ -12,7 +12,8 @@
 
 class process {
  public:
-  /// Starts a program; its output goes to `log`.
+  /// Starts a program in `folder`; its output is appended to `log`. Throws if
+  /// it cannot be started.
   process(const std::vector<std::string>& command, const std::string& folder,
           const std::string& log);
   process(process&& other) noexcept;
@@ -20,14 +21,14 @@
   ~process();
 
   void signal(int number) const;
-  /// Ends it at once and reaps it.
+  /// Sends SIGKILL and reaps the process.
   void kill();
-  /// Waits for its end; the exit status, or 128 plus the signal's number.
+  /// Waits for the exit; returns the status, or 128 plus the signal's number.
   int wait();
   bool running();
-  /// CPU time that it has used.
+  /// User and system time.
   std::chrono::milliseconds cpu_time() const;
-  /// Resident memory.
+  /// Resident memory in bytes.
   std::uint64_t resident_bytes() const;
 
  private:
--- a/tests/test/request-faults-test.cc
+++ b/tests/test/request-faults-test.cc
@@ -1,4 +1,6 @@
-// Requests under faults: borders, whole answers, stops, leaving endpoints.
+// Tests requests under faults: they run only in permitted regions, answers are
+// complete or visibly interrupted, and stops and leaving endpoints lose
+// nothing.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -99,7 +101,7 @@
     return it.state("golfo-1") == "isolated" &&
            it.state("golfo-2") == "isolated";
   }));
-  // The mainland's callers may now be served in isola only.
+  // Callers of the mainland team are now permitted in isola only.
   ASSERT_TRUE(eventually([&] {
     const result<json> applied = it.apply("isola-1", R"({"placement_rules": [
         {"name": "north", "callers": {"team": "mainland"},
@@ -125,7 +127,7 @@
 
 struct endpoint_fault_case {
   const char* fault;
-  bool may_answer;  // whether a whole answer is possible at all
+  bool may_answer;  // whether a complete answer is possible
 };
 
 TEST(request_faults_test, an_answer_is_whole_and_own_or_visibly_broken) {
@@ -157,7 +159,7 @@
         }
         if (answer.ran == "no") {
           EXPECT_TRUE(it.runs_of(id_of(request)).empty())
-              << one.fault << " was told as not run";
+              << one.fault << " was reported as not run";
         }
       }
     }
@@ -176,7 +178,7 @@
 TEST(request_faults_test, a_total_outage_adds_a_tenth_to_the_load) {
   cluster it;
   it.bring_up();
-  // Each attempt that reaches an endpoint is logged before it is cut.
+  // The endpoint logs each attempt before it cuts the answer.
   for (const char* region : {"isola", "stretto", "golfo"}) {
     it.fault("guida-" + std::string(region) + "-1", "cut");
     it.fault("guida-" + std::string(region) + "-2", "cut");
--- a/tests/test/run-once-test.cc
+++ b/tests/test/run-once-test.cc
@@ -1,4 +1,5 @@
-// Requests that may not be repeated, counted from outside.
+// Tests that run-once requests run at most once under resends and faults, by
+// the run log of the endpoints.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -15,8 +16,8 @@
   return text_of(member_of(now, "ledger"), "leader");
 }
 
-/// The incarnation under which a node votes in isola's ledger, or 0 as long as
-/// not all three of the region's nodes vote.
+/// The incarnation of a voter of isola's ledger, or 0 unless all three nodes of
+/// the region are voters.
 std::uint64_t voting_incarnation(cluster& it, const std::string& name) {
   const json now = it.status("isola-1");
   const json members = member_of(member_of(now, "ledger"), "members");
@@ -81,7 +82,7 @@
   options.speed = 1;
   cluster it(options);
   it.bring_up();
-  // planner's home is isola, whose ledger has three voters.
+  // The home of planner is isola, whose ledger has three voters.
   for (int round = 0; round < 3; ++round) {
     const std::string key = "death-" + std::to_string(round);
     std::thread caller([&] {
@@ -132,7 +133,7 @@
     ASSERT_NE(former, 0U);
     it.kill_node(name);
     it.start_node(name);
-    // Taken in again under its new incarnation.
+    // Wait until it is a voter again with its new incarnation.
     ASSERT_TRUE(eventually([&] {
       const std::uint64_t now = voting_incarnation(it, name);
       if (now == 0 || now == former) return false;
--- a/tests/test/suspended_machine.cc
+++ b/tests/test/suspended_machine.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-/// Takes the place of the C library's function in this program.
+/// Replaces the function of the C library in this program.
 extern "C" int clock_gettime(clockid_t clock, timespec* at) noexcept {
   const long failed = ::syscall(SYS_clock_gettime, clock, at);
   if (failed != 0 || !counts_suspension(clock)) return static_cast<int>(failed);
--- a/tests/test/suspended_machine.h
+++ b/tests/test/suspended_machine.h
@@ -1,12 +1,12 @@
-// A machine that is suspended, for programs under test.
+// Simulates the suspension of the machine for the test program.
 #pragma once
 
 #include <chrono>
 
 namespace trestlepost::test {
 
-/// The clocks that count the time for which a machine is suspended go on by
-/// `time` at once; the others, and what waits by them, notice nothing.
+/// Advances the clocks that include suspended time, CLOCK_BOOTTIME and
+/// CLOCK_REALTIME, by `time`. CLOCK_MONOTONIC and its timers are unaffected.
 void suspend_machine(std::chrono::nanoseconds time);
 
 }  // namespace trestlepost::test
--- a/tests/test/suspension-test.cc
+++ b/tests/test/suspension-test.cc
@@ -1,8 +1,7 @@
-// A machine that is suspended for seconds, and what goes on by its clock.
-//
-// Seen: nothing yet; asked what decides by a clock that stands still meanwhile.
-// Cause: all of it did. Leases, ages and deadlines of the node looked as fresh
-// after five seconds as before, and timers were late by that time.
+// Tests that leases, deadlines and timers include the time for which the
+// machine is suspended. On CLOCK_MONOTONIC, which stops during a suspension,
+// leases and ages would look fresh afterwards, and timers would fire late by
+// that time.
 #include <gtest/gtest.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -55,7 +54,7 @@
   EXPECT_FALSE(state.may_cross_regions(clock.now()));
 }
 
-/// A peer that takes connections and says nothing.
+/// A peer that accepts requests and does not answer.
 class silent_handler final : public transport::http_handler {
  public:
   explicit silent_handler(transport::asio::io_context& io) : io_(io) {}
@@ -76,8 +75,8 @@
 
 class suspended_loop_test : public testing::Test {
  protected:
-  /// Runs the loop as a node does, which ticks; false when `done` does not come
-  /// to hold within a second of the test's own time.
+  /// Runs the event loop with regular ticks, as a node does, until `done` is
+  /// true or 100 ticks of 10 ms have passed; returns its last value.
   template <typename Condition>
   bool tick_until(Condition done) {
     boost::asio::steady_timer tick(io_);
