--- a/bench/measure/config.cc
+++ b/bench/measure/config.cc
@@ -28,9 +28,9 @@
   std::vector<double> latencies;
   const steady_clock::time_point start = steady_clock::now();
   for (int i = 0; i < changes; ++i) {
-    const steady_clock::time_point begun = steady_clock::now();
+    const steady_clock::time_point started_at = steady_clock::now();
     it.apply(leader, change_text(i));
-    latencies.push_back(ms_since(begun));
+    latencies.push_back(ms_since(started_at));
   }
   const double seconds = ms_since(start) / 1000;
   std::printf(
@@ -41,7 +41,7 @@
 }
 
 /// Time from sending a change until all nodes have its revision.
-void measure_in_force(unsigned delay_ms) {
+void measure_propagation(unsigned delay_ms) {
   test::cluster_options options;
   options.delay_ms = delay_ms;
   options.election_timeout_ms = 1000;
@@ -50,7 +50,7 @@
   std::vector<double> times;
   for (int i = 0; i < 20; ++i) {
     const std::string leader = it.leader();
-    const steady_clock::time_point begun = steady_clock::now();
+    const steady_clock::time_point started_at = steady_clock::now();
     const result<json> outcome = it.apply(leader, change_text(i));
     const std::uint64_t revision =
         outcome ? number_of(*outcome, "revision") : 0;
@@ -59,7 +59,7 @@
         std::this_thread::sleep_for(milliseconds(2));
       }
     }
-    times.push_back(ms_since(begun));
+    times.push_back(ms_since(started_at));
   }
   std::printf(
       "in force on all seven nodes, %u ms one way between regions: "
@@ -74,7 +74,7 @@
   for (const std::string& name : it.control_nodes()) {
     if (name != leader) other = name;
   }
-  const steady_clock::time_point begun = steady_clock::now();
+  const steady_clock::time_point started_at = steady_clock::now();
   if (freeze) {
     it.freeze_node(leader);
   } else {
@@ -91,7 +91,7 @@
     }
     std::this_thread::sleep_for(milliseconds(10));
   }
-  const double out = ms_since(begun);
+  const double out = ms_since(started_at);
   if (freeze) {
     it.thaw_node(leader);
   } else {
@@ -101,7 +101,7 @@
   return out;
 }
 
-void measure_gaps() {
+void measure_failover() {
   test::cluster_options options;
   options.delay_ms = 20;
   options.election_timeout_ms = 1000;
@@ -128,7 +128,7 @@
   for (int i = 0; i < changes; ++i) it.apply("isola-1", change_text(i));
   const std::uint64_t revision = it.revision("isola-1");
   it.kill_node(node);
-  const steady_clock::time_point begun = steady_clock::now();
+  const steady_clock::time_point started_at = steady_clock::now();
   it.start_node(node);
   while (it.state(node) != "ready" || it.revision(node) < revision) {
     std::this_thread::sleep_for(milliseconds(5));
@@ -136,12 +136,12 @@
   std::printf(
       "restart of a control node after %d changes, snapshot every "
       "%u: ready at the latest revision in %.0f ms\n",
-      changes, snapshot_every, ms_since(begun));
+      changes, snapshot_every, ms_since(started_at));
 }
 
 }  // namespace
 
-int measure_rest() {
+int measure_idle() {
   test::cluster_options options;
   options.default_timing = true;
   test::cluster it(options);
@@ -151,19 +151,20 @@
     std::map<std::string, std::uint64_t> bytes;
     std::map<std::string, milliseconds> cpu;
     for (const std::string& node : shown) {
-      bytes[node] = it.peer_bytes_of(node);
-      cpu[node] = it.cpu_of(node);
+      bytes[node] = it.peer_bytes_sent_by(node);
+      cpu[node] = it.cpu_time_of(node);
     }
-    const steady_clock::time_point begun = steady_clock::now();
+    const steady_clock::time_point started_at = steady_clock::now();
     constexpr int seconds = 8;
     for (int i = 0; i < seconds; ++i) {
       if (changing) it.apply("isola-1", change_text(i));
-      std::this_thread::sleep_until(begun + std::chrono::seconds(i + 1));
+      std::this_thread::sleep_until(started_at + std::chrono::seconds(i + 1));
     }
     for (const std::string& node : shown) {
       const double sent =
-          static_cast<double>(it.peer_bytes_of(node) - bytes[node]) / seconds;
-      const milliseconds used = it.cpu_of(node) - cpu[node];
+          static_cast<double>(it.peer_bytes_sent_by(node) - bytes[node]) /
+          seconds;
+      const milliseconds used = it.cpu_time_of(node) - cpu[node];
       std::printf("%s %s: %.1f KB a second sent to peers, %.2f%% of a core\n",
                   changing ? "one change a second," : "at rest,", node.c_str(),
                   sent / 1000,
@@ -181,10 +182,10 @@
     it.bring_up();
     measure_changes(it, 100);
   }
-  measure_rest();
-  measure_in_force(20);
-  measure_in_force(80);
-  measure_gaps();
+  measure_idle();
+  measure_propagation(20);
+  measure_propagation(80);
+  measure_failover();
   measure_restart(500, 100);
   measure_restart(500, 100'000);
   return 0;
--- a/bench/measure/main.cc
+++ b/bench/measure/main.cc
@@ -15,6 +15,6 @@
   CLI11_PARSE(app, argc, argv);
   if (overhead->parsed()) return trestlepost::measure::measure_overhead();
   if (config->parsed()) return trestlepost::measure::measure_config();
-  if (rest->parsed()) return trestlepost::measure::measure_rest();
+  if (rest->parsed()) return trestlepost::measure::measure_idle();
   return trestlepost::measure::measure_policy(repeats);
 }
--- a/bench/measure/measure.h
+++ b/bench/measure/measure.h
@@ -13,7 +13,7 @@
 
 /// Peer traffic and CPU use of nodes without requests, at rest and with one
 /// change per second, at the default timing.
-int measure_rest();
+int measure_idle();
 
 /// Region policies compared under load and faults; a run for each seed from 1
 /// to `repeats`.
--- a/bench/measure/overhead.cc
+++ b/bench/measure/overhead.cc
@@ -12,10 +12,10 @@
 using bench::load_options;
 using bench::quantile;
 
-constexpr unsigned callers_configured = 31'000;
+constexpr unsigned caller_count = 31'000;
 
-load_class plain_class(const std::string& name, const std::string& entry,
-                       const std::string& target, double rate) {
+load_class make_plain_class(const std::string& name, const std::string& entry,
+                            const std::string& target, double rate) {
   load_class out;
   out.name = name;
   out.entry = entry;
@@ -48,7 +48,7 @@
 /// Enlarges the configuration, to measure its memory.
 void add_callers(test::cluster& it) {
   constexpr unsigned batch = 1000;
-  for (unsigned from = 0; from < callers_configured; from += batch) {
+  for (unsigned from = 0; from < caller_count; from += batch) {
     json change;
     for (unsigned i = from; i < from + batch; ++i) {
       json one;
@@ -78,32 +78,32 @@
   load_options load;
   load.seconds = 8;
   load.warmup_seconds = 2;
-  load.classes = {plain_class("direct 200/s", endpoint, "/status", 200),
-                  plain_class("gateway 200/s", entry, target, 200)};
+  load.classes = {make_plain_class("direct 200/s", endpoint, "/status", 200),
+                  make_plain_class("gateway 200/s", entry, target, 200)};
   print_all(load);
 
-  load_class stream =
-      plain_class("stream direct 20/s", it.endpoint_address("guida-isola-1"),
-                  "/v1/chat/completions", 20);
+  load_class stream = make_plain_class("stream direct 20/s",
+                                       it.endpoint_address("guida-isola-1"),
+                                       "/v1/chat/completions", 20);
   stream.model = true;
   stream.service = "guida";
   stream.stream = true;
-  load_class through = stream;
-  through.name = "stream gateway 20/s";
-  through.entry = entry;
-  load.classes = {stream, through};
+  load_class via_gateway = stream;
+  via_gateway.name = "stream gateway 20/s";
+  via_gateway.entry = entry;
+  load.classes = {stream, via_gateway};
   print_all(load);
 
   std::printf("memory at rest: %.1f MB\n",
-              static_cast<double>(it.memory_of("isola-2")) / 1e6);
+              static_cast<double>(it.resident_bytes_of("isola-2")) / 1e6);
   for (const double rate : {1000.0, 2000.0, 3000.0, 4000.0, 5000.0, 6000.0}) {
     load.seconds = 4;
     load.warmup_seconds = 1;
-    load.classes = {plain_class("gateway " + std::to_string(int(rate)) + "/s",
-                                entry, target, rate)};
-    const std::chrono::milliseconds before = it.cpu_of("isola-2");
+    load.classes = {make_plain_class(
+        "gateway " + std::to_string(int(rate)) + "/s", entry, target, rate)};
+    const std::chrono::milliseconds before = it.cpu_time_of("isola-2");
     print_all(load);
-    const std::chrono::milliseconds used = it.cpu_of("isola-2") - before;
+    const std::chrono::milliseconds used = it.cpu_time_of("isola-2") - before;
     std::printf("  CPU of the gateway: %.2f of a core\n",
                 static_cast<double>(used.count()) / 5000.0);
   }
@@ -113,8 +113,8 @@
   std::printf(
       "memory with %u callers: isola-2 (gateway) %.1f MB, isola-1 "
       "(control) %.1f MB\n",
-      callers_configured, static_cast<double>(it.memory_of("isola-2")) / 1e6,
-      static_cast<double>(it.memory_of("isola-1")) / 1e6);
+      caller_count, static_cast<double>(it.resident_bytes_of("isola-2")) / 1e6,
+      static_cast<double>(it.resident_bytes_of("isola-1")) / 1e6);
   return 0;
 }
 
--- a/bench/measure/policy.cc
+++ b/bench/measure/policy.cc
@@ -16,13 +16,13 @@
 // calculated from the processing times of the stand-ins: 16 slots, some 0.25 s
 // per request.
 constexpr double region_capacity = 60;
-constexpr double whole_capacity = 3 * region_capacity;
+constexpr double total_capacity = 3 * region_capacity;
 constexpr unsigned run_seconds = 10;
 
 /// Streamed model calls of one caller through `node`.
-load_class model_class(test::cluster& it, const std::string& name,
-                       const std::string& node, const std::string& caller,
-                       const std::string& home, double rate) {
+load_class make_model_class(test::cluster& it, const std::string& name,
+                            const std::string& node, const std::string& caller,
+                            const std::string& home, double rate) {
   load_class out;
   out.name = name;
   out.entry = it.address(node, 7000);
@@ -40,18 +40,21 @@
 }
 
 /// Uneven load: 55 % enters in isola, 30 % in stretto, 15 % in golfo.
-load_options mix(test::cluster& it, double share_of_capacity, unsigned seed) {
-  const double rate = share_of_capacity * whole_capacity;
+load_options make_load(test::cluster& it, double share_of_capacity,
+                       unsigned seed) {
+  const double rate = share_of_capacity * total_capacity;
   load_options out;
   out.seconds = run_seconds;
   out.warmup_seconds = 2;
   out.seed = seed;
-  out.classes = {
-      model_class(it, "planner-1", "isola-1", "planner", "isola", rate * 0.3),
-      model_class(it, "planner-2", "isola-2", "planner", "isola", rate * 0.25),
-      model_class(it, "terminal", "stretto-1", "terminal", "stretto",
-                  rate * 0.3),
-      model_class(it, "mainland", "golfo-1", "mainland", "golfo", rate * 0.15)};
+  out.classes = {make_model_class(it, "planner-1", "isola-1", "planner",
+                                  "isola", rate * 0.3),
+                 make_model_class(it, "planner-2", "isola-2", "planner",
+                                  "isola", rate * 0.25),
+                 make_model_class(it, "terminal", "stretto-1", "terminal",
+                                  "stretto", rate * 0.3),
+                 make_model_class(it, "mainland", "golfo-1", "mainland",
+                                  "golfo", rate * 0.15)};
   return out;
 }
 
@@ -90,15 +93,16 @@
   options.speed = 4;
   test::cluster it(options);
   it.bring_up();
-  double share = 0.6;
-  if (kind == scenario::steady_09) share = 0.9;
-  if (kind == scenario::steady_20) share = 2.0;
-  std::thread faults;
+  double load_share = 0.6;
+  if (kind == scenario::steady_09) load_share = 0.9;
+  if (kind == scenario::steady_20) load_share = 2.0;
+  std::thread fault_thread;
   if (kind == scenario::region_lost) {
-    faults = std::thread([&it] { lose_region(it); });
+    fault_thread = std::thread([&it] { lose_region(it); });
   }
   class_result all;
-  for (const auto& [name, one] : bench::run_load(mix(it, share, seed))) {
+  for (const auto& [name, one] :
+       bench::run_load(make_load(it, load_share, seed))) {
     all.offered += one.offered;
     all.good += one.good;
     all.away += one.away;
@@ -108,7 +112,7 @@
     all.total_ms.insert(all.total_ms.end(), one.total_ms.begin(),
                         one.total_ms.end());
   }
-  if (faults.joinable()) faults.join();
+  if (fault_thread.joinable()) fault_thread.join();
   return all;
 }
 
@@ -116,7 +120,7 @@
            const class_result& it) {
   std::printf(
       "%-36s %-11s %-6s offered %5llu good %5.1f%% away %5.1f%% first "
-      "p50 %4.0f p99 %5.0f whole p50 %4.0f p99 %5.0f p99.9 %5.0f ms ",
+      "p50 %4.0f p99 %5.0f total p50 %4.0f p99 %5.0f p99.9 %5.0f ms ",
       name_of(kind), policy.c_str(), penalty.c_str(),
       static_cast<unsigned long long>(it.offered),
       100.0 * static_cast<double>(it.good) / static_cast<double>(it.offered),
--- a/bench/src/caller.cc
+++ b/bench/src/caller.cc
@@ -43,11 +43,11 @@
   while (true) {
     const result<std::string> piece = co_await call->read_piece();
     if (!piece) break;
-    if (out.first_piece.count() == 0) {
-      out.first_piece = boot_clock::now() - started;
+    if (out.first_piece_time.count() == 0) {
+      out.first_piece_time = boot_clock::now() - started;
     }
     if (piece->empty()) {
-      out.whole = true;
+      out.complete = true;
       break;
     }
     out.body += *piece;
@@ -60,7 +60,7 @@
   co_return out;
 }
 
-caller_answer send_now(const caller_request& request) {
+caller_answer send_and_wait(const caller_request& request) {
   transport::asio::io_context io(1);
   transport::http_client client(io, {});
   caller_answer out;
@@ -72,13 +72,13 @@
   return out;
 }
 
-std::string ask_directory(const std::string& address,
-                          const std::string& query) {
+std::string query_directory(const std::string& address,
+                            const std::string& query) {
   caller_request request;
   request.address = address;
   request.method = "GET";
   request.target = "/v1/entries" + query;
-  const caller_answer answer = send_now(request);
+  const caller_answer answer = send_and_wait(request);
   const result<json> parsed = parse_json(answer.body);
   if (!parsed || answer.status != 200) return {};
   const json& entries = member_of(*parsed, "entries");
--- a/bench/src/caller.h
+++ b/bench/src/caller.h
@@ -23,8 +23,8 @@
 };
 
 struct caller_answer {
-  bool whole = false;  // the answer was read to its end
-  bool sent = false;   // request bytes may have reached the peer
+  bool complete = false;  // the answer was read to its end
+  bool sent = false;      // request bytes may have reached the peer
   unsigned status = 0;
   std::string region;
   std::string ran;
@@ -33,7 +33,7 @@
   std::string replayed;
   transport::header_list headers;
   std::string body;
-  std::chrono::nanoseconds first_piece{0};
+  std::chrono::nanoseconds first_piece_time{0};
   std::chrono::nanoseconds total{0};
 };
 
@@ -42,9 +42,10 @@
                                          caller_request request);
 
 /// Blocks until the answer is complete; uses an event loop of its own.
-caller_answer send_now(const caller_request& request);
+caller_answer send_and_wait(const caller_request& request);
 
 /// Address of the first entry in the node's directory answer, or empty.
-std::string ask_directory(const std::string& address, const std::string& query);
+std::string query_directory(const std::string& address,
+                            const std::string& query);
 
 }  // namespace trestlepost::bench
--- a/bench/src/demo.cc
+++ b/bench/src/demo.cc
@@ -8,7 +8,8 @@
 namespace trestlepost::bench {
 namespace {
 
-bool show(const std::string& what, const caller_answer& answer, bool ok) {
+bool print_result(const std::string& what, const caller_answer& answer,
+                  bool ok) {
   std::cout << (ok ? "ok    " : "WRONG ") << what << ": status "
             << answer.status << ", served in "
             << (answer.region.empty() ? "-" : answer.region) << ", ran "
@@ -36,28 +37,30 @@
 }
 
 bool answered(const caller_answer& answer) {
-  return answer.whole && answer.status == 200 && answer.ran == "yes" &&
+  return answer.complete && answer.status == 200 && answer.ran == "yes" &&
          !answer.region.empty();
 }
 
 }  // namespace
 
 int run_demo(const demo_options& options) {
-  const std::string entry = ask_directory(options.node, "");
+  const std::string entry = query_directory(options.node, "");
   std::cout << "directory: use entry " << entry << "\n";
   if (entry.empty()) return 1;
   bool ok = true;
 
-  const caller_answer plain = send_now(model_request(options, entry, false));
+  const caller_answer plain =
+      send_and_wait(model_request(options, entry, false));
   const bool plain_ok =
       answered(plain) && plain.body.find("demo-1") != std::string::npos;
-  ok = show("model call", plain, plain_ok) && ok;
+  ok = print_result("model call", plain, plain_ok) && ok;
 
-  const caller_answer streamed = send_now(model_request(options, entry, true));
+  const caller_answer streamed =
+      send_and_wait(model_request(options, entry, true));
   const bool stream_ok = answered(streamed) &&
                          streamed.body.ends_with("data: [DONE]\n\n") &&
                          streamed.body.find("demo-2") != std::string::npos;
-  ok = show("streamed model call", streamed, stream_ok) && ok;
+  ok = print_result("streamed model call", streamed, stream_ok) && ok;
 
   caller_request booking;
   booking.address = entry;
@@ -67,18 +70,18 @@
   system_random random;
   booking.headers = {{"Trestlepost-Repeatable", "false"},
                      {"Idempotency-Key", make_request_id(random)}};
-  const caller_answer booked = send_now(booking);
-  ok = show("call that may run once", booked, answered(booked)) && ok;
+  const caller_answer booked = send_and_wait(booking);
+  ok = print_result("call that may run once", booked, answered(booked)) && ok;
 
-  const caller_answer again = send_now(booking);
+  const caller_answer again = send_and_wait(booking);
   const bool replayed =
       answered(again) && again.replayed == "true" && again.body == booked.body;
-  ok = show("the same call, sent again", again, replayed) && ok;
+  ok = print_result("the same call, sent again", again, replayed) && ok;
 
   booking.body = R"({"item":"4712"})";
-  const caller_answer other = send_now(booking);
+  const caller_answer other = send_and_wait(booking);
   const bool refused = other.status == 422 && other.kind == "mismatch";
-  ok = show("another call under the same key", other, refused) && ok;
+  ok = print_result("another call under the same key", other, refused) && ok;
   std::cout << (ok ? "all answers are as expected\n"
                    : "some answers are wrong\n");
   return ok ? 0 : 1;
--- a/bench/src/endpoint.cc
+++ b/bench/src/endpoint.cc
@@ -25,7 +25,7 @@
 using transport::http_exchange;
 
 constexpr std::size_t characters_per_token = 4;
-constexpr std::size_t prefix_size = 512;
+constexpr std::size_t prefix_bytes = 512;
 constexpr std::uint64_t default_tokens = 16;
 // Tokens in one streamed piece, after a first piece with one token.
 constexpr std::uint64_t tokens_per_piece = 8;
@@ -65,7 +65,7 @@
   return it == names.end() ? fault::none : it->second;
 }
 
-struct work {
+struct run_request {
   std::string request_id;
   std::string attempt;
   std::string key;
@@ -85,8 +85,8 @@
   awaitable<void> handle(http_exchange& exchange) override;
 
  private:
-  struct waiting_work {
-    explicit waiting_work(transport::asio::io_context& io) : wake(io) {}
+  struct queued_run {
+    explicit queued_run(transport::asio::io_context& io) : wake(io) {}
     transport::timer wake;
     bool started = false;
   };
@@ -97,32 +97,33 @@
   };
 
   /// Reports the load as it was `report_lag` ago.
-  awaitable<void> answer_load(http_exchange& exchange);
-  awaitable<void> run(http_exchange& exchange, work item);
-  awaitable<void> run_plain(http_exchange& exchange, work item);
-  awaitable<void> run_model(http_exchange& exchange, work item);
+  awaitable<void> send_load(http_exchange& exchange);
+  awaitable<void> run(http_exchange& exchange, run_request request);
+  awaitable<void> run_plain(http_exchange& exchange, run_request request);
+  awaitable<void> run_model(http_exchange& exchange, run_request request);
   /// Waits for a free slot by priority; false if the gateway disconnects first.
-  awaitable<bool> take_slot(http_exchange& exchange, int priority);
+  awaitable<bool> acquire_slot(http_exchange& exchange, int priority);
   void release_slot();
   /// Waits for `n` divided by the speed.
-  awaitable<void> pause(microseconds n);
+  awaitable<void> wait_scaled(microseconds n);
   /// Decode time of one token at the present batch size.
   microseconds token_time() const;
-  void log(const work& item, const char* phase) const;
-  http_answer head_for(const work& item) const;
+  void log(const run_request& request, const char* phase) const;
+  http_answer make_answer_head(const run_request& request) const;
 
   transport::asio::io_context& io_;
   const endpoint_options& options_;
   prefix_cache cache_;
   unsigned running_ = 0;
-  std::multimap<int, std::shared_ptr<waiting_work>, std::greater<>> waiting_;
+  std::multimap<int, std::shared_ptr<queued_run>, std::greater<>> waiting_;
   std::list<load_sample> samples_;
   fault fault_ = fault::none;
   std::uint64_t runs_ = 0;
 };
 
-work read_work(const http_exchange& exchange, const std::string& body) {
-  work out;
+run_request parse_run_request(const http_exchange& exchange,
+                              const std::string& body) {
+  run_request out;
   out.request_id = std::string(exchange.header("X-Request-Id"));
   out.attempt = std::string(exchange.header("Trestlepost-Attempt"));
   out.key = std::string(exchange.header("Idempotency-Key"));
@@ -134,14 +135,14 @@
   const std::string prompt =
       messages.isArray() ? to_text(messages) : text_of(*parsed, "prompt");
   out.prompt_tokens = prompt.size() / characters_per_token + 1;
-  out.prefix = hash64(std::string_view(prompt).substr(0, prefix_size));
+  out.prefix = hash64(std::string_view(prompt).substr(0, prefix_bytes));
   const std::uint64_t tokens = number_of(*parsed, "max_tokens");
   if (tokens > 0) out.tokens = tokens;
   out.stream = flag_of(*parsed, "stream");
   return out;
 }
 
-awaitable<void> endpoint_handler::pause(microseconds n) {
+awaitable<void> endpoint_handler::wait_scaled(microseconds n) {
   transport::timer timer(io_);
   timer.expires_after(microseconds(static_cast<std::int64_t>(
       static_cast<double>(n.count()) / options_.speed)));
@@ -150,42 +151,45 @@
       boost::asio::redirect_error(boost::asio::use_awaitable, ec));
 }
 
-void endpoint_handler::log(const work& item, const char* phase) const {
-  append_run(options_.run_log, {options_.name, options_.region, item.request_id,
-                                item.attempt, item.key, phase});
+void endpoint_handler::log(const run_request& request,
+                           const char* phase) const {
+  append_run(options_.run_log,
+             {options_.name, options_.region, request.request_id,
+              request.attempt, request.key, phase});
 }
 
-http_answer endpoint_handler::head_for(const work& item) const {
+http_answer endpoint_handler::make_answer_head(
+    const run_request& request) const {
   http_answer out;
-  std::string echoed = item.attempt;
+  std::string echoed = request.attempt;
   if (fault_ == fault::crossed) echoed = "another-attempt";
   out.headers = {{"Trestlepost-Attempt", echoed},
                  {"Stand-In-Endpoint", options_.name}};
   return out;
 }
 
-awaitable<bool> endpoint_handler::take_slot(http_exchange& exchange,
-                                            int priority) {
+awaitable<bool> endpoint_handler::acquire_slot(http_exchange& exchange,
+                                               int priority) {
   if (running_ < options_.slots) {
     ++running_;
     co_return true;
   }
-  const std::shared_ptr<waiting_work> own = std::make_shared<waiting_work>(io_);
-  const auto place = waiting_.emplace(priority, own);
-  bool left = false;
-  exchange.on_gone([own, &left] {
-    left = true;
-    own->wake.cancel();
+  const std::shared_ptr<queued_run> waiter = std::make_shared<queued_run>(io_);
+  const auto queue_entry = waiting_.emplace(priority, waiter);
+  bool disconnected = false;
+  exchange.on_gone([waiter, &disconnected] {
+    disconnected = true;
+    waiter->wake.cancel();
   });
-  while (!own->started && !left) {
-    own->wake.expires_at(monotonic_time::max());
+  while (!waiter->started && !disconnected) {
+    waiter->wake.expires_at(monotonic_time::max());
     boost::system::error_code ec;
-    co_await own->wake.async_wait(
+    co_await waiter->wake.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   }
   exchange.on_gone(nullptr);
-  if (own->started) co_return true;
-  waiting_.erase(place);
+  if (waiter->started) co_return true;
+  waiting_.erase(queue_entry);
   co_return false;
 }
 
@@ -194,7 +198,7 @@
     --running_;
     return;
   }
-  const std::shared_ptr<waiting_work> next = waiting_.begin()->second;
+  const std::shared_ptr<queued_run> next = waiting_.begin()->second;
   waiting_.erase(waiting_.begin());
   next->started = true;
   next->wake.cancel();
@@ -202,13 +206,13 @@
 
 microseconds endpoint_handler::token_time() const {
   const double factor = 1 + options_.decode_slope * (running_ - 1.0);
-  const double slow = fault_ == fault::slow ? 10 : 1;
+  const double slow_factor = fault_ == fault::slow ? 10 : 1;
   const microseconds base = options_.decode_per_token;
   return microseconds(static_cast<std::int64_t>(
-      static_cast<double>(base.count()) * factor * slow));
+      static_cast<double>(base.count()) * factor * slow_factor));
 }
 
-awaitable<void> endpoint_handler::answer_load(http_exchange& exchange) {
+awaitable<void> endpoint_handler::send_load(http_exchange& exchange) {
   const monotonic_time now = boot_clock::now();
   samples_.push_back({now, running_, static_cast<unsigned>(waiting_.size())});
   while (samples_.size() > 1 &&
@@ -225,19 +229,19 @@
 }
 
 awaitable<void> endpoint_handler::run_plain(http_exchange& exchange,
-                                            work item) {
-  log(item, "start");
+                                            run_request request) {
+  log(request, "start");
   ++runs_;
-  if (fault_ == fault::duplicate) log(item, "start");
+  if (fault_ == fault::duplicate) log(request, "start");
   const int factor = fault_ == fault::slow ? 10 : 1;
-  co_await pause(options_.plain_time * factor);
-  log(item, "end");
+  co_await wait_scaled(options_.plain_time * factor);
+  log(request, "end");
   json body;
   body["endpoint"] = options_.name;
   body["region"] = options_.region;
-  body["request_id"] = item.request_id;
+  body["request_id"] = request.request_id;
   body["run"] = json(Json::UInt64(runs_));
-  http_answer answer = head_for(item);
+  http_answer answer = make_answer_head(request);
   answer.body = to_text(body);
   if (fault_ == fault::cut) {
     co_await exchange.start_stream(std::move(answer));
@@ -248,40 +252,40 @@
   co_await exchange.respond(std::move(answer));
 }
 
-std::string completion_text(const work& item, std::uint64_t n) {
+std::string completion_text(const run_request& request, std::uint64_t n) {
   std::string out;
   for (std::uint64_t i = 0; i < n; ++i) out += "tok ";
-  return item.request_id + " " + out;
+  return request.request_id + " " + out;
 }
 
-std::string event_text(const work& item, const std::string& content) {
+std::string event_text(const run_request& request, const std::string& content) {
   json event;
-  event["id"] = item.request_id;
+  event["id"] = request.request_id;
   event["object"] = "chat.completion.chunk";
   event["choices"][0]["delta"]["content"] = content;
   return "data: " + to_text(event) + "\n\n";
 }
 
 awaitable<void> endpoint_handler::run_model(http_exchange& exchange,
-                                            work item) {
-  log(item, "start");
+                                            run_request request) {
+  log(request, "start");
   ++runs_;
-  const bool cached = cache_.touch(item.prefix);
+  const bool cached = cache_.touch(request.prefix);
   // A cached prefix leaves a tenth of the prompt to prefill.
-  const std::uint64_t fresh =
-      cached ? item.prompt_tokens / 10 + 1 : item.prompt_tokens;
-  co_await pause(options_.prefill_per_token * fresh);
-  http_answer head = head_for(item);
-  if (item.stream) {
+  const std::uint64_t prefill_tokens =
+      cached ? request.prompt_tokens / 10 + 1 : request.prompt_tokens;
+  co_await wait_scaled(options_.prefill_per_token * prefill_tokens);
+  http_answer head = make_answer_head(request);
+  if (request.stream) {
     head.content_type = "text/event-stream";
     bool open = co_await exchange.start_stream(std::move(head));
     std::uint64_t done = 0;
-    while (open && done < item.tokens) {
+    while (open && done < request.tokens) {
       const std::uint64_t n =
-          done == 0 ? 1 : std::min(tokens_per_piece, item.tokens - done);
-      co_await pause(token_time() * n);
+          done == 0 ? 1 : std::min(tokens_per_piece, request.tokens - done);
+      co_await wait_scaled(token_time() * n);
       done += n;
-      std::string event = event_text(item, completion_text(item, n));
+      std::string event = event_text(request, completion_text(request, n));
       open = co_await exchange.write_piece(std::move(event));
       if (fault_ == fault::cut && done > 1) {
         exchange.abort();
@@ -289,34 +293,36 @@
       }
     }
     if (!open) co_return;
-    log(item, "end");
+    log(request, "end");
     co_await exchange.write_piece("data: [DONE]\n\n");
     co_await exchange.finish_stream();
     co_return;
   }
-  bool left = false;
-  exchange.on_gone([&left] { left = true; });
-  for (std::uint64_t done = 0; done < item.tokens && !left;) {
-    const std::uint64_t n = std::min(tokens_per_piece, item.tokens - done);
-    co_await pause(token_time() * n);
+  bool disconnected = false;
+  exchange.on_gone([&disconnected] { disconnected = true; });
+  for (std::uint64_t done = 0; done < request.tokens && !disconnected;) {
+    const std::uint64_t n = std::min(tokens_per_piece, request.tokens - done);
+    co_await wait_scaled(token_time() * n);
     done += n;
   }
   exchange.on_gone(nullptr);
-  if (left) co_return;
-  log(item, "end");
+  if (disconnected) co_return;
+  log(request, "end");
   json body;
-  body["id"] = item.request_id;
+  body["id"] = request.request_id;
   body["object"] = "chat.completion";
   body["endpoint"] = options_.name;
   body["cached"] = cached;
-  body["choices"][0]["message"]["content"] = completion_text(item, item.tokens);
+  body["choices"][0]["message"]["content"] =
+      completion_text(request, request.tokens);
   head.body = to_text(body);
   co_await exchange.respond(std::move(head));
 }
 
-awaitable<void> endpoint_handler::run(http_exchange& exchange, work item) {
+awaitable<void> endpoint_handler::run(http_exchange& exchange,
+                                      run_request request) {
   if (fault_ == fault::refuse) {
-    http_answer answer = head_for(item);
+    http_answer answer = make_answer_head(request);
     answer.status = 503;
     co_await exchange.respond(std::move(answer));
     co_return;
@@ -327,17 +333,18 @@
   }
   if (fault_ == fault::hang) {
     constexpr milliseconds long_time{3'600'000};
-    bool left = false;
-    exchange.on_gone([&left] { left = true; });
-    while (!left) co_await pause(std::min(long_time, milliseconds(100)));
+    bool disconnected = false;
+    exchange.on_gone([&disconnected] { disconnected = true; });
+    while (!disconnected)
+      co_await wait_scaled(std::min(long_time, milliseconds(100)));
     co_return;
   }
-  const bool started = co_await take_slot(exchange, item.priority);
+  const bool started = co_await acquire_slot(exchange, request.priority);
   if (!started) co_return;
   if (options_.plain) {
-    co_await run_plain(exchange, std::move(item));
+    co_await run_plain(exchange, std::move(request));
   } else {
-    co_await run_model(exchange, std::move(item));
+    co_await run_model(exchange, std::move(request));
   }
   release_slot();
 }
@@ -347,7 +354,7 @@
   result<std::string> body = co_await exchange.read_body();
   if (!body) co_return;
   if (target == "/load") {
-    co_await answer_load(exchange);
+    co_await send_load(exchange);
     co_return;
   }
   constexpr std::string_view fault_path = "/stand-in/fault?";
@@ -357,8 +364,8 @@
     co_await exchange.respond(std::move(answer));
     co_return;
   }
-  work item = read_work(exchange, *body);
-  co_await run(exchange, std::move(item));
+  run_request request = parse_run_request(exchange, *body);
+  co_await run(exchange, std::move(request));
 }
 
 }  // namespace
--- a/bench/src/load.cc
+++ b/bench/src/load.cc
@@ -24,8 +24,8 @@
 constexpr std::size_t characters_per_token = 4;
 
 /// A prompt that shares all but its last words with others of the same prefix.
-std::string prompt_of(const load_class& kind, std::uint64_t prefix,
-                      std::uint64_t n) {
+std::string make_prompt(const load_class& kind, std::uint64_t prefix,
+                        std::uint64_t n) {
   std::string shared = kind.name + " prefix " + std::to_string(prefix) + " ";
   const std::size_t size = kind.prompt_tokens * characters_per_token;
   while (shared.size() < size) shared += "timetable ";
@@ -41,7 +41,7 @@
 
   std::map<std::string, class_result> run() {
     for (std::size_t i = 0; i < options_.classes.size(); ++i) {
-      boost::asio::co_spawn(io_, offer(options_.classes[i], i),
+      boost::asio::co_spawn(io_, generate_requests(options_.classes[i], i),
                             boost::asio::detached);
     }
     io_.run();
@@ -56,7 +56,7 @@
   }
 
   /// Starts the requests of a class at the times of a Poisson process.
-  awaitable<void> offer(const load_class& kind, std::size_t index);
+  awaitable<void> generate_requests(const load_class& kind, std::size_t index);
   awaitable<void> send_one(const load_class& kind, std::uint64_t n,
                            std::uint64_t prefix, monotonic_time due,
                            bool counted);
@@ -68,7 +68,8 @@
   std::map<std::string, class_result> results_;
 };
 
-awaitable<void> load_run::offer(const load_class& kind, std::size_t index) {
+awaitable<void> load_run::generate_requests(const load_class& kind,
+                                            std::size_t index) {
   seeded_random random(options_.seed * 1000UL + index);
   const monotonic_time start = boot_clock::now();
   const std::chrono::seconds length(options_.seconds + options_.warmup_seconds);
@@ -113,7 +114,7 @@
   json body;
   if (kind.model) {
     body["model"] = kind.service;
-    body["messages"][0]["content"] = prompt_of(kind, prefix, n);
+    body["messages"][0]["content"] = make_prompt(kind, prefix, n);
     body["max_tokens"] = kind.tokens;
     body["stream"] = kind.stream;
   } else {
@@ -125,16 +126,16 @@
   if (!counted) co_return;
   // Latency counts from the scheduled start, so that a delay of the load
   // generator doesn't hide a slow answer.
-  const std::chrono::nanoseconds late = sent_at - due;
+  const std::chrono::nanoseconds start_delay = sent_at - due;
   const auto as_ms = [](std::chrono::nanoseconds t) {
     return std::chrono::duration<double, std::milli>(t).count();
   };
   class_result& out = results_[kind.name];
   ++out.offered;
-  const bool own = answer.body.find(id) != std::string::npos;
+  const bool has_request_id = answer.body.find(id) != std::string::npos;
   std::string outcome = answer.kind;
-  if (answer.status == 200 && answer.whole) {
-    outcome = own ? "answered" : "MIXED";
+  if (answer.status == 200 && answer.complete) {
+    outcome = has_request_id ? "answered" : "MIXED";
   } else if (answer.status == 200) {
     outcome = "broken";
   } else if (answer.status == 0) {
@@ -142,8 +143,8 @@
   }
   ++out.outcomes[outcome];
   if (outcome != "answered") co_return;
-  out.first_ms.push_back(as_ms(answer.first_piece + late));
-  out.total_ms.push_back(as_ms(answer.total + late));
+  out.first_ms.push_back(as_ms(answer.first_piece_time + start_delay));
+  out.total_ms.push_back(as_ms(answer.total + start_delay));
   if (out.total_ms.back() > kind.deadline_ms) co_return;
   ++out.good;
   if (!kind.home.empty() && answer.region != kind.home) ++out.away;
@@ -173,14 +174,14 @@
   out.token = reader.text_or("token", "");
   out.target = reader.text("target");
   out.service = reader.text_or("service", "");
-  constexpr std::uint64_t most = 1'000'000;
+  constexpr std::uint64_t max_value = 1'000'000;
   constexpr double per_thousand = 1000;
   // An integer number of requests in 1000 seconds, to allow low rates.
-  out.rate =
-      static_cast<double>(reader.number_or("per_1000_s", 1000, 1, 100 * most)) /
-      per_thousand;
+  out.rate = static_cast<double>(
+                 reader.number_or("per_1000_s", 1000, 1, 100 * max_value)) /
+             per_thousand;
   const auto number = [&reader](const char* key, unsigned fallback) {
-    return static_cast<unsigned>(reader.number_or(key, fallback, 0, most));
+    return static_cast<unsigned>(reader.number_or(key, fallback, 0, max_value));
   };
   out.prompt_tokens = number("prompt_tokens", out.prompt_tokens);
   out.tokens = number("tokens", out.tokens);
@@ -220,11 +221,11 @@
   problem_list problems(text);
   object_reader reader(*document, "", problems);
   load_options options;
-  constexpr std::uint64_t longest = 600;
+  constexpr std::uint64_t max_seconds = 600;
   options.seconds = static_cast<unsigned>(
-      reader.number_or("seconds", options.seconds, 1, longest));
-  options.warmup_seconds = static_cast<unsigned>(
-      reader.number_or("warmup_seconds", options.warmup_seconds, 0, longest));
+      reader.number_or("seconds", options.seconds, 1, max_seconds));
+  options.warmup_seconds = static_cast<unsigned>(reader.number_or(
+      "warmup_seconds", options.warmup_seconds, 0, max_seconds));
   options.seed =
       static_cast<unsigned>(reader.number_or("seed", 1, 1, 1'000'000));
   for (const json& it : reader.objects_or_empty("classes")) {
--- a/bench/src/platform.cc
+++ b/bench/src/platform.cc
@@ -28,11 +28,12 @@
     if (!body) co_return;
     http_answer answer;
     if (target == "/v1/vms") {
-      answer.body = listed();
+      answer.body = vm_list_text();
     } else {
-      const std::size_t mark = target.find('?');
+      const std::size_t query_at = target.find('?');
       const bool leaving = target.starts_with("/stand-in/leaving");
-      if (mark != std::string::npos) set(target.substr(mark + 1), leaving);
+      if (query_at != std::string::npos)
+        set_leaving(target.substr(query_at + 1), leaving);
     }
     co_await exchange.respond(std::move(answer));
   }
@@ -44,21 +45,21 @@
     monotonic_time changed_at;
   };
 
-  void set(const std::string& ip, bool leaving) {
+  void set_leaving(const std::string& ip, bool leaving) {
     vms_[ip].leaving = leaving;
     vms_[ip].changed_at = boot_clock::now();
   }
 
-  std::string listed() {
+  std::string vm_list_text() {
     const monotonic_time now = boot_clock::now();
     json out;
     json& vms = out["vms"] = json(Json::arrayValue);
     for (auto& [ip, it] : vms_) {
       if (now >= it.changed_at + options_.lag) it.listed_leaving = it.leaving;
-      json one;
-      one["address"] = ip;
-      one["state"] = it.listed_leaving ? "leaving" : "live";
-      vms.append(std::move(one));
+      json vm;
+      vm["address"] = ip;
+      vm["state"] = it.listed_leaving ? "leaving" : "live";
+      vms.append(std::move(vm));
     }
     return to_text(out);
   }
--- a/bench/src/relay.cc
+++ b/bench/src/relay.cc
@@ -26,11 +26,11 @@
 using transport::tcp;
 using error_code = boost::system::error_code;
 
-constexpr std::size_t buffer_size = 64UL * 1024;
+constexpr std::size_t read_buffer_bytes = 64UL * 1024;
 // The reader stops when this much waits for the link, so that TCP flow control
 // reaches the sender.
-constexpr std::size_t most_waiting = 4UL * 1024 * 1024;
-constexpr milliseconds cut_check{20};
+constexpr std::size_t max_queued_bytes = 4UL * 1024 * 1024;
+constexpr milliseconds cut_poll_interval{20};
 
 /// The second octet of an IPv4 address, which identifies the region.
 std::string region_of(const tcp::endpoint& at) {
@@ -57,8 +57,8 @@
 };
 
 /// Sockets of a relayed connection.
-struct relayed_connection {
-  explicit relayed_connection(transport::asio::io_context& io)
+struct connection_pair {
+  explicit connection_pair(transport::asio::io_context& io)
       : source(io), target(io) {}
   tcp::socket source;
   tcp::socket target;
@@ -70,16 +70,16 @@
   }
 };
 
-struct waiting_piece {
+struct delayed_chunk {
   monotonic_time due;
   std::string data;
 };
 
 /// One direction of a connection: data that waits for the delay of the link.
 /// `wake` is cancelled when the queue changes.
-struct direction {
-  explicit direction(transport::asio::io_context& io) : wake(io) {}
-  std::deque<waiting_piece> queue;
+struct flow_state {
+  explicit flow_state(transport::asio::io_context& io) : wake(io) {}
+  std::deque<delayed_chunk> queue;
   std::size_t bytes = 0;
   bool ended = false;
   transport::timer wake;
@@ -92,50 +92,51 @@
   co_await timer.async_wait(redirect_error(use_awaitable, ec));
 }
 
-awaitable<void> read_side(transport::asio::io_context& io,
-                          std::shared_ptr<relayed_connection> pair,
-                          tcp::socket& from, std::shared_ptr<direction> way,
+awaitable<void> read_loop(transport::asio::io_context& io,
+                          std::shared_ptr<connection_pair> pair,
+                          tcp::socket& from, std::shared_ptr<flow_state> flow,
                           link_state& link) {
-  std::array<char, buffer_size> buf{};
+  std::array<char, read_buffer_bytes> buf{};
   while (true) {
     error_code ec;
     const std::size_t n = co_await from.async_read_some(
         boost::asio::buffer(buf), redirect_error(use_awaitable, ec));
     if (ec || !pair->target.is_open()) break;
-    way->queue.push_back(
+    flow->queue.push_back(
         {boot_clock::now() + link.delay, std::string(buf.data(), n)});
-    way->bytes += n;
-    way->wake.cancel();
-    while (way->bytes > most_waiting) co_await sleep_for(io, cut_check);
+    flow->bytes += n;
+    flow->wake.cancel();
+    while (flow->bytes > max_queued_bytes)
+      co_await sleep_for(io, cut_poll_interval);
   }
-  way->ended = true;
-  way->wake.cancel();
+  flow->ended = true;
+  flow->wake.cancel();
 }
 
-awaitable<void> write_side(transport::asio::io_context& io,
-                           std::shared_ptr<relayed_connection> pair,
-                           tcp::socket& to, std::shared_ptr<direction> way,
+awaitable<void> write_loop(transport::asio::io_context& io,
+                           std::shared_ptr<connection_pair> pair,
+                           tcp::socket& to, std::shared_ptr<flow_state> flow,
                            link_state& link) {
   while (true) {
-    if (way->queue.empty()) {
-      if (way->ended) break;
-      way->wake.expires_at(monotonic_time::max());
+    if (flow->queue.empty()) {
+      if (flow->ended) break;
+      flow->wake.expires_at(monotonic_time::max());
       error_code ec;
-      co_await way->wake.async_wait(redirect_error(use_awaitable, ec));
+      co_await flow->wake.async_wait(redirect_error(use_awaitable, ec));
       continue;
     }
     // As in a network partition: nothing is sent and no connection is closed.
-    while (link.cut && to.is_open()) co_await sleep_for(io, cut_check);
+    while (link.cut && to.is_open()) co_await sleep_for(io, cut_poll_interval);
     const monotonic_time now = boot_clock::now();
-    if (way->queue.front().due > now) {
-      way->wake.expires_at(way->queue.front().due);
+    if (flow->queue.front().due > now) {
+      flow->wake.expires_at(flow->queue.front().due);
       error_code ec;
-      co_await way->wake.async_wait(redirect_error(use_awaitable, ec));
+      co_await flow->wake.async_wait(redirect_error(use_awaitable, ec));
       continue;
     }
-    const std::string data = std::move(way->queue.front().data);
-    way->queue.pop_front();
-    way->bytes -= data.size();
+    const std::string data = std::move(flow->queue.front().data);
+    flow->queue.pop_front();
+    flow->bytes -= data.size();
     error_code ec;
     co_await boost::asio::async_write(to, boost::asio::buffer(data),
                                       redirect_error(use_awaitable, ec));
@@ -147,8 +148,8 @@
 awaitable<void> connect_and_relay(transport::asio::io_context& io, network& net,
                                   tcp::socket source,
                                   std::string target_address) {
-  const std::shared_ptr<relayed_connection> pair =
-      std::make_shared<relayed_connection>(io);
+  const std::shared_ptr<connection_pair> pair =
+      std::make_shared<connection_pair>(io);
   pair->source = std::move(source);
   error_code ec;
   const std::string from = region_of(pair->source.remote_endpoint(ec));
@@ -156,7 +157,7 @@
   const std::string to = region_of(at);
   link_state& forward = net.between(from, to);
   link_state& back = net.between(to, from);
-  while (forward.cut || back.cut) co_await sleep_for(io, cut_check);
+  while (forward.cut || back.cut) co_await sleep_for(io, cut_poll_interval);
   co_await sleep_for(io, forward.delay + back.delay);
   co_await pair->target.async_connect(at, redirect_error(use_awaitable, ec));
   if (ec) {
@@ -165,14 +166,14 @@
   }
   transport::set_accepted_options(pair->source);
   transport::set_accepted_options(pair->target);
-  const std::shared_ptr<direction> out = std::make_shared<direction>(io);
-  const std::shared_ptr<direction> in = std::make_shared<direction>(io);
+  const std::shared_ptr<flow_state> out = std::make_shared<flow_state>(io);
+  const std::shared_ptr<flow_state> in = std::make_shared<flow_state>(io);
   using boost::asio::co_spawn;
   using boost::asio::detached;
-  co_spawn(io, read_side(io, pair, pair->source, out, forward), detached);
-  co_spawn(io, write_side(io, pair, pair->target, out, forward), detached);
-  co_spawn(io, read_side(io, pair, pair->target, in, back), detached);
-  co_spawn(io, write_side(io, pair, pair->source, in, back), detached);
+  co_spawn(io, read_loop(io, pair, pair->source, out, forward), detached);
+  co_spawn(io, write_loop(io, pair, pair->target, out, forward), detached);
+  co_spawn(io, read_loop(io, pair, pair->target, in, back), detached);
+  co_spawn(io, write_loop(io, pair, pair->source, in, back), detached);
 }
 
 awaitable<void> accept_loop(transport::asio::io_context& io, network& net,
@@ -198,11 +199,11 @@
     rest.erase(0, rest.find('?') + 1);
     while (!rest.empty()) {
       const std::size_t end = rest.find('&');
-      const std::string one = rest.substr(0, end);
+      const std::string parameter = rest.substr(0, end);
       rest = end == std::string::npos ? "" : rest.substr(end + 1);
-      const std::size_t equals = one.find('=');
+      const std::size_t equals = parameter.find('=');
       if (equals != std::string::npos) {
-        query[one.substr(0, equals)] = one.substr(equals + 1);
+        query[parameter.substr(0, equals)] = parameter.substr(equals + 1);
       }
     }
     change(query);
--- a/ctl/src/client.cc
+++ b/ctl/src/client.cc
@@ -18,8 +18,8 @@
 
 // Poll interval for the result of a ticket; doubles up to the maximum.
 constexpr std::chrono::milliseconds first_ticket_interval{4};
-constexpr std::chrono::milliseconds longest_ticket_interval{100};
-constexpr std::uint64_t largest_answer = 256ULL * 1024 * 1024;
+constexpr std::chrono::milliseconds max_ticket_interval{100};
+constexpr std::uint64_t max_answer_bytes = 256ULL * 1024 * 1024;
 
 error unreachable(const std::string& address, const std::string& why) {
   return {error_kind::unavailable, "node " + address + ": " + why,
@@ -43,7 +43,7 @@
   if (!ec) http::write(stream, request, ec);
   boost::beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
-  parser.body_limit(largest_answer);
+  parser.body_limit(max_answer_bytes);
   if (!ec) http::read(stream, buffer, parser, ec);
   if (ec) return tl::make_unexpected(unreachable(address, ec.message()));
   const http::response<http::string_body>& answer = parser.get();
@@ -86,7 +86,7 @@
                   "run it again with the same --change-id");
     }
     std::this_thread::sleep_for(interval);
-    interval = std::min(2 * interval, longest_ticket_interval);
+    interval = std::min(2 * interval, max_ticket_interval);
     const json ticket = *answer;
     answer = call_at(address, "ticket", ticket);
   }
--- a/ctl/src/commands.cc
+++ b/ctl/src/commands.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds wait_interval{100};
-constexpr std::chrono::milliseconds longest_wait{20'000};
+constexpr std::chrono::milliseconds max_wait{20'000};
 
 int exit_code_of(error_kind kind) {
   switch (kind) {
@@ -48,7 +48,7 @@
                      std::istreambuf_iterator<char>()};
 }
 
-std::string draw_change_id() {
+std::string make_change_id() {
   system_random random;
   return make_request_id(random);
 }
@@ -101,7 +101,7 @@
   if (!now) return report(now.error());
   json params;
   params["change_id"] =
-      options.change_id.empty() ? draw_change_id() : options.change_id;
+      options.change_id.empty() ? make_change_id() : options.change_id;
   if (options.if_revision) {
     params["if_revision"] = json(Json::UInt64(*options.if_revision));
   }
@@ -131,28 +131,29 @@
     return exit_codes::conflict;
   }
   if (status != "accepted") return exit_codes::refused;
-  return wait ? wait_in_force(number_of(*outcome, "revision")) : exit_codes::ok;
+  return wait ? wait_until_in_force(number_of(*outcome, "revision"))
+              : exit_codes::ok;
 }
 
-int commands::wait_in_force(std::uint64_t revision) {
+int commands::wait_until_in_force(std::uint64_t revision) {
   const std::chrono::steady_clock::time_point end =
-      std::chrono::steady_clock::now() + longest_wait;
-  std::string behind;
+      std::chrono::steady_clock::now() + max_wait;
+  std::string nodes_behind;
   while (std::chrono::steady_clock::now() < end) {
     const result<json> status = rpc_.call("status", json(Json::objectValue));
     if (!status) return report(status.error());
-    behind.clear();
+    nodes_behind.clear();
     for (const json& it : member_of(*status, "nodes")) {
       if (number_of(it, "revision") >= revision) continue;
-      behind += (behind.empty() ? "" : ", ") + text_of(it, "node") + " (" +
-                text_of(it, "heard") + ")";
+      nodes_behind += (nodes_behind.empty() ? "" : ", ") + text_of(it, "node") +
+                      " (" + text_of(it, "heard") + ")";
     }
-    if (behind.empty()) return exit_codes::ok;
+    if (nodes_behind.empty()) return exit_codes::ok;
     std::this_thread::sleep_for(wait_interval);
   }
   return report({error_kind::unavailable,
                  "revision " + std::to_string(revision) +
-                     " is not yet in force on " + behind,
+                     " is not yet in force on " + nodes_behind,
                  "those nodes are partitioned and serve only their own region; "
                  "restore their network links"});
 }
@@ -171,7 +172,7 @@
   const result<config::object_kind> known = config::object_kind_from(kind);
   if (!known) return report(known.error());
   json params;
-  params["change_id"] = change_id.empty() ? draw_change_id() : change_id;
+  params["change_id"] = change_id.empty() ? make_change_id() : change_id;
   json one = config::to_json(config::edit{*known, name, json(), std::nullopt});
   params["edits"].append(std::move(one));
   return send_change(params, false);
@@ -190,14 +191,14 @@
   params["name"] = options.name;
   params["limit"] = json(Json::UInt64(options.limit));
   if (!options.since.empty()) {
-    const std::optional<std::chrono::milliseconds> back =
+    const std::optional<std::chrono::milliseconds> max_age =
         parse_duration(options.since);
-    if (!back) {
+    if (!max_age) {
       return report({error_kind::bad_input, "--since is not a duration",
                      "use for example --since \"2 h\""});
     }
     const std::int64_t from =
-        to_unix_ms(std::chrono::system_clock::now() - *back);
+        to_unix_ms(std::chrono::system_clock::now() - *max_age);
     params["since_ms"] = json(Json::UInt64(static_cast<std::uint64_t>(from)));
   }
   const result<json> answer = rpc_.call("audit", params);
@@ -232,7 +233,7 @@
   edit["spec"] = found["spec"];
   edit["spec"]["drained"] = !undo;
   json change;
-  change["change_id"] = draw_change_id();
+  change["change_id"] = make_change_id();
   change["edits"].append(std::move(edit));
   return send_change(change, false);
 }
@@ -253,14 +254,14 @@
                       const std::string& change_id) {
   json params;
   params["fingerprint"] = fingerprint;
-  params["change_id"] = change_id.empty() ? draw_change_id() : change_id;
+  params["change_id"] = change_id.empty() ? make_change_id() : change_id;
   const result<json> outcome = rpc_.call("release", params);
   if (!outcome) return report(outcome.error());
   return print(*outcome, print_change(*outcome));
 }
 
-int commands::recover(bool accepted) {
-  if (!accepted) {
+int commands::recover(bool loss_accepted) {
+  if (!loss_accepted) {
     return report({error_kind::bad_input,
                    "changes that only the lost nodes stored would be lost",
                    "bring one of them back, or repeat with --accept-loss"});
--- a/ctl/src/commands.h
+++ b/ctl/src/commands.h
@@ -63,7 +63,7 @@
   int held();
   int release(const std::string& fingerprint, const std::string& change_id);
   /// Refuses unless the loss of changes is accepted.
-  int recover(bool accepted);
+  int recover(bool loss_accepted);
   /// Validates a file as a full configuration, without a node.
   int check(const std::string& file);
 
@@ -73,7 +73,7 @@
   int print(const json& answer, const std::string& text) const;
   int send_change(const json& params, bool wait);
   /// Polls the status until all nodes have the revision.
-  int wait_in_force(std::uint64_t revision);
+  int wait_until_in_force(std::uint64_t revision);
 
   client& rpc_;
   output_options output_;
--- a/ctl/src/config_file.cc
+++ b/ctl/src/config_file.cc
@@ -8,7 +8,7 @@
 namespace trestlepost::ctl {
 namespace {
 
-constexpr char mend_remedy[] = "correct the file and try again";
+constexpr char fix_remedy[] = "correct the file and try again";
 
 /// Files contain the token itself; only its hash is sent to a node.
 void hash_token(json& spec) {
@@ -24,30 +24,30 @@
 
 result<std::vector<config::edit>> read_config(const std::string& text,
                                               const std::string& file,
-                                              bool whole) {
+                                              bool check_references) {
   const result<json> document = parse_json(text, json_comments::allow);
   if (!document) {
     return fail(error_kind::bad_input, file + ": " + document.error().message,
-                mend_remedy);
+                fix_remedy);
   }
   problem_list problems(text);
   object_reader reader(*document, "", problems);
   std::vector<config::edit> out;
-  config::object_store trial;
+  config::object_store validated_store;
   for (const config::object_kind kind : config::all_object_kinds) {
     const std::string list(config::list_name(kind));
     for (json& spec : reader.objects_or_empty(list.c_str())) {
       if (kind == config::object_kind::caller) hash_token(spec);
       const std::string name = text_of(spec, "name");
       config::edit one{kind, name, spec, std::nullopt};
-      trial.put(one, 1, problems);
+      validated_store.put(one, 1, problems);
       out.push_back(std::move(one));
     }
   }
   reader.finish();
-  if (problems.empty() && whole) trial.check(problems);
+  if (problems.empty() && check_references) validated_store.check(problems);
   if (!problems.empty()) {
-    return fail(error_kind::bad_input, problems.to_text(file), mend_remedy);
+    return fail(error_kind::bad_input, problems.to_text(file), fix_remedy);
   }
   return out;
 }
--- a/ctl/src/print.cc
+++ b/ctl/src/print.cc
@@ -32,7 +32,7 @@
   return std::to_string(number_of(object, key));
 }
 
-std::string short_real(const json& object, const char* key) {
+std::string one_decimal(const json& object, const char* key) {
   const std::string text = std::to_string(real_of(object, key));
   return text.substr(0, text.find('.') + 2);
 }
@@ -87,8 +87,9 @@
       {"ENDPOINT", "SERVICE", "STATE", "LIMIT", "IN FLIGHT", "LOAD"}};
   for (const json& it : member_of(status, "endpoints")) {
     endpoints.push_back({text_of(it, "endpoint"), text_of(it, "service"),
-                         text_of(it, "state"), short_real(it, "limit"),
-                         number_text(it, "in_flight"), short_real(it, "load")});
+                         text_of(it, "state"), one_decimal(it, "limit"),
+                         number_text(it, "in_flight"),
+                         one_decimal(it, "load")});
   }
   return out + print_table(endpoints);
 }
--- a/ctl/test/config_file-test.cc
+++ b/ctl/test/config_file-test.cc
@@ -9,7 +9,7 @@
 namespace trestlepost::ctl {
 namespace {
 
-TEST(read_config_test, hashes_tokens_before_they_leave) {
+TEST(read_config_test, sends_only_the_hash_of_a_token) {
   const result<std::vector<config::edit>> it = read_config(
       R"({"callers": [{"name": "yard", "token": "t"}]})", "f", false);
   ASSERT_TRUE(it) << it.error().message;
@@ -17,7 +17,7 @@
   EXPECT_EQ((*it)[0].spec["token_sha256"].asString(), sha256_hex("t"));
 }
 
-TEST(read_config_test, names_line_and_remedy_of_each_mistake) {
+TEST(read_config_test, errors_name_line_and_remedy) {
   const result<std::vector<config::edit>> it = read_config(
       "{\n  \"regions\": [\n    {\"name\": \"a\", \"lables\": {}}\n  ],\n"
       "  \"servces\": []\n}",
@@ -30,7 +30,7 @@
             std::string::npos);
 }
 
-TEST(read_config_test, a_whole_file_must_fit_together) {
+TEST(read_config_test, a_full_configuration_needs_valid_references) {
   const std::string text =
       R"({"regions": [{"name": "a"}], "endpoints": [{"name": "e",
           "service": "s", "region": "a", "availability_zone": "z",
--- a/soak/src/main.cc
+++ b/soak/src/main.cc
@@ -44,8 +44,8 @@
   out["plans_acknowledged"] = it.acknowledged;
   out["reads"] = it.reads;
   out["recovery_ms"] = trestlepost::as_number(it.recovery);
-  json& found = out["violations"] = json(Json::arrayValue);
-  for (const std::string& one : it.found) found.append(one);
+  json& violations = out["violations"] = json(Json::arrayValue);
+  for (const std::string& one : it.violations) violations.append(one);
   if (!it.folder.empty()) out["folder"] = it.folder;
   return out;
 }
@@ -55,7 +55,7 @@
             << std::setw(10) << it.answered << std::setw(9) << it.refused
             << std::setw(8) << it.failed << std::setw(7) << it.acknowledged
             << std::setw(7) << it.reads << std::setw(10) << it.recovery.count()
-            << "  " << (it.found.empty() ? "held" : "BROKEN") << "\n"
+            << "  " << (it.violations.empty() ? "held" : "BROKEN") << "\n"
             << trestlepost::to_text(to_json(seed, it)) << std::endl;
 }
 
@@ -75,11 +75,11 @@
   }
   std::cout << "  seed  faults  answered  refused  failed  plans  reads  "
                "heal, ms\n";
-  bool held = true;
+  bool passed = true;
   for (std::uint64_t seed = range.first; seed <= range.last; ++seed) {
     const soak_result it = run_soak({seed, std::chrono::seconds(seconds)});
     print_row(seed, it);
-    held = held && it.found.empty();
+    passed = passed && it.violations.empty();
   }
-  return held ? 0 : exit_violations;
+  return passed ? 0 : exit_violations;
 }
--- a/soak/src/request_record.cc
+++ b/soak/src/request_record.cc
@@ -12,27 +12,30 @@
 
 }  // namespace
 
-void request_record::check(const caller_request_record& it,
-                           const endpoint_list& ran) {
-  const std::string who =
+void request_record::check(const request_outcome& it,
+                           const endpoint_names& ran) {
+  const std::string subject =
       "request " + it.id + " (status " + std::to_string(it.status) + ")";
   if (it.status == 200) {
     ++answered_;
-    if (ran.empty()) found_.push_back(who + " was answered but did not run");
+    if (ran.empty())
+      violations_.push_back(subject + " was answered but did not run");
   } else if (promises_not_run(it.status)) {
     ++refused_;
-    if (!ran.empty()) found_.push_back(who + " ran at " + ran.front());
+    if (!ran.empty()) violations_.push_back(subject + " ran at " + ran.front());
   } else {
     ++failed_;
   }
   if (it.kind == request_kind::run_once && ran.size() > 1) {
-    found_.push_back(who + " ran twice: at " + ran[0] + " and at " + ran[1]);
+    violations_.push_back(subject + " ran twice: at " + ran[0] + " and at " +
+                          ran[1]);
   }
-  if (it.kind != request_kind::bound) return;
+  if (it.kind != request_kind::home_bound) return;
   for (const std::string& endpoint : ran) {
     const bool home =
         std::find(home_.begin(), home_.end(), endpoint) != home_.end();
-    if (!home) found_.push_back(who + " ran outside its home at " + endpoint);
+    if (!home)
+      violations_.push_back(subject + " ran outside its home at " + endpoint);
   }
 }
 
--- a/soak/src/request_record.h
+++ b/soak/src/request_record.h
@@ -1,6 +1,6 @@
 // Compares the answers that callers received with the runs that the endpoints
 // logged: an answered request ran and a refused one did not, a run-once request
-// ran at most once, and a region-bound one ran only at home.
+// ran at most once, and a home-bound one ran only at home.
 #pragma once
 
 #include <string>
@@ -10,34 +10,34 @@
 
 namespace trestlepost::soak {
 
-enum class request_kind { repeatable, run_once, bound };
+enum class request_kind { repeatable, run_once, home_bound };
 
 /// A request of a caller and the status that the caller received.
-struct caller_request_record {
+struct request_outcome {
   std::string id;
   request_kind kind = request_kind::repeatable;
   unsigned status = 0;  // 0: no answer, or an incomplete one
 };
 
 /// The endpoints that logged a run of a request, one entry for each run.
-using endpoint_list = std::vector<std::string>;
+using endpoint_names = std::vector<std::string>;
 
 class request_record {
  public:
-  /// `home`: the endpoints that may run bound requests.
-  request_record(violations& found, endpoint_list home)
-      : found_(found), home_(std::move(home)) {}
+  /// `home`: the endpoints that may run home-bound requests.
+  request_record(violation_list& violations, endpoint_names home)
+      : violations_(violations), home_(std::move(home)) {}
 
   /// Checks one request; call it after all runs have ended.
-  void check(const caller_request_record& it, const endpoint_list& ran);
+  void check(const request_outcome& it, const endpoint_names& ran);
 
   int answered() const { return answered_; }
   int refused() const { return refused_; }
   int failed() const { return failed_; }
 
  private:
-  violations& found_;
-  endpoint_list home_;
+  violation_list& violations_;
+  endpoint_names home_;
   int answered_ = 0;
   int refused_ = 0;
   int failed_ = 0;
--- a/soak/src/schedule.h
+++ b/soak/src/schedule.h
@@ -36,7 +36,7 @@
 /// Returns the faults ordered by `begin`. At most one control node is faulty at
 /// a time, so that a majority remains. Faults of different entries overlap with
 /// those of control nodes and with each other.
-std::vector<fault> draw_schedule(std::uint64_t seed,
+std::vector<fault> make_schedule(std::uint64_t seed,
                                  const schedule_options& options);
 
 }  // namespace trestlepost::soak
--- a/soak/src/soak_run.cc
+++ b/soak/src/soak_run.cc
@@ -26,49 +26,47 @@
 const std::vector<std::string> control_nodes{"control-n1", "control-s1",
                                              "control-n2"};
 const std::vector<std::string> entries{"entry-n", "entry-s"};
-const endpoint_list home_endpoints{"i-s1"};
+const endpoint_names home_endpoints{"i-s1"};
 
 constexpr int callers_per_entry = 3;
 constexpr int operators = 2;
 constexpr int readers = 2;
 constexpr milliseconds caller_pause{15};
 constexpr milliseconds operator_pause{150};
-constexpr milliseconds order_patience{1000};
-constexpr milliseconds caller_patience{3000};
-constexpr unsigned most_extra_routes = 400;
+constexpr milliseconds order_timeout{1000};
+constexpr milliseconds caller_timeout{3000};
+constexpr unsigned max_extra_routes = 400;
 // Allowed time from the end of the last fault until all nodes serve.
-constexpr milliseconds longest_recovery{15'000};
+constexpr milliseconds max_recovery_time{15'000};
 
 /// Callers, operators and readers on one event loop in a separate thread. They
 /// keep their connections open.
 class traffic {
  public:
-  traffic(deployment& of, std::uint64_t seed, plan_record& plans)
-      : deployment_(of), plans_(plans), engine_(seed) {
+  traffic(deployment& target, std::uint64_t seed, plan_record& plans)
+      : deployment_(target), plans_(plans), engine_(seed) {
     for (const std::string& entry : entries) {
-      for (int n = 0; n < callers_per_entry; ++n) spawn(call(entry));
+      for (int n = 0; n < callers_per_entry; ++n) spawn(run_caller(entry));
     }
-    for (int n = 0; n < operators; ++n) spawn(operate());
-    for (int n = 0; n < readers; ++n) spawn(read());
+    for (int n = 0; n < operators; ++n) spawn(run_operator());
+    for (int n = 0; n < readers; ++n) spawn(run_reader());
     thread_ = std::thread([this] { io_.run(); });
   }
-  ~traffic() { end(); }
+  ~traffic() { stop(); }
 
   /// Starts no new calls and waits for those in progress.
-  void end() {
-    ended_ = true;
+  void stop() {
+    stopping_ = true;
     if (thread_.joinable()) thread_.join();
   }
-  const std::vector<caller_request_record>& requests() const {
-    return requests_;
-  }
+  const std::vector<request_outcome>& requests() const { return requests_; }
 
  private:
   void spawn(awaitable<void> task) {
     boost::asio::co_spawn(io_, std::move(task), boost::asio::detached);
   }
-  std::uint64_t draw(std::uint64_t below) {
-    return std::uniform_int_distribution<std::uint64_t>(0, below - 1)(engine_);
+  std::uint64_t random_below(std::uint64_t limit) {
+    return std::uniform_int_distribution<std::uint64_t>(0, limit - 1)(engine_);
   }
   awaitable<void> pause(milliseconds time) {
     transport::timer timer(io_);
@@ -77,97 +75,99 @@
   }
 
   /// Sends requests of random kinds, one at a time.
-  awaitable<void> call(std::string entry);
+  awaitable<void> run_caller(std::string entry);
   /// Sends new plans; repeats each until it is acknowledged or invalid.
-  awaitable<void> operate();
+  awaitable<void> run_operator();
   /// Reads plans from random control nodes.
-  awaitable<void> read();
+  awaitable<void> run_reader();
 
   deployment& deployment_;
   plan_record& plans_;
   std::mt19937_64 engine_;
-  std::atomic<bool> ended_{false};
+  std::atomic<bool> stopping_{false};
   transport::asio::io_context io_{1};
   transport::http_client client_{io_, {}};
-  std::vector<caller_request_record> requests_;
+  std::vector<request_outcome> requests_;
   int next_id_ = 0;
   std::thread thread_;
 };
 
-awaitable<void> traffic::call(std::string entry) {
-  while (!ended_) {
-    caller_request_record it;
+awaitable<void> traffic::run_caller(std::string entry) {
+  while (!stopping_) {
+    request_outcome it;
     it.id = "soak-" + std::to_string(next_id_++);
     std::string method = "GET";
     std::string path = "/get/1";
-    const std::uint64_t kind = draw(3);
+    const std::uint64_t kind = random_below(3);
     if (kind == 1) {
       it.kind = request_kind::run_once;
       method = "POST";
       path = "/book/1";
     } else if (kind == 2) {
-      it.kind = request_kind::bound;
+      it.kind = request_kind::home_bound;
       path = "/south/1";
     }
-    bench::caller_request asked =
+    bench::caller_request request =
         deployment_.caller_request(entry, method, path, it.id);
-    asked.timeout = caller_patience;
+    request.timeout = caller_timeout;
     const bench::caller_answer answer =
-        co_await bench::send(client_, std::move(asked));
-    if (answer.whole) it.status = answer.status;
+        co_await bench::send(client_, std::move(request));
+    if (answer.complete) it.status = answer.status;
     requests_.push_back(it);
     co_await pause(caller_pause);
   }
 }
 
-awaitable<void> traffic::operate() {
-  while (!ended_) {
+awaitable<void> traffic::run_operator() {
+  while (!stopping_) {
     const std::uint64_t number = plans_.next_number();
-    const std::string plan =
-        deployment::large_plan(static_cast<unsigned>(number),
-                               static_cast<unsigned>(draw(most_extra_routes)));
-    plans_.sent(number, plan);
-    for (bool open = true; open && !ended_;) {
-      bench::caller_request asked = deployment_.replace_request(
-          control_nodes[draw(control_nodes.size())], plan);
-      asked.timeout = order_patience;
+    const std::string plan = deployment::large_plan(
+        static_cast<unsigned>(number),
+        static_cast<unsigned>(random_below(max_extra_routes)));
+    plans_.record_sent(number, plan);
+    for (bool open = true; open && !stopping_;) {
+      bench::caller_request request = deployment_.replace_request(
+          control_nodes[random_below(control_nodes.size())], plan);
+      request.timeout = order_timeout;
       const bench::caller_answer answer =
-          co_await bench::send(client_, std::move(asked));
-      open = !answer.whole || answer.status >= 500;
-      if (answer.whole && answer.status == 200) plans_.acknowledged(number);
-      if (answer.whole && answer.status >= 400 && answer.status < 500) {
-        plans_.refused_as_invalid(number, answer.body);
+          co_await bench::send(client_, std::move(request));
+      open = !answer.complete || answer.status >= 500;
+      if (answer.complete && answer.status == 200)
+        plans_.record_acknowledged(number);
+      if (answer.complete && answer.status >= 400 && answer.status < 500) {
+        plans_.record_invalid(number, answer.body);
       }
       co_await pause(operator_pause);
     }
   }
 }
 
-awaitable<void> traffic::read() {
-  while (!ended_) {
-    const std::uint64_t least = plans_.newest_acknowledged();
-    const std::string& node = control_nodes[draw(control_nodes.size())];
-    bench::caller_request asked = deployment_.read_request(node);
-    asked.timeout = order_patience;
+awaitable<void> traffic::run_reader() {
+  while (!stopping_) {
+    const std::uint64_t acknowledged_number = plans_.newest_acknowledged();
+    const std::string& node = control_nodes[random_below(control_nodes.size())];
+    bench::caller_request request = deployment_.read_request(node);
+    request.timeout = order_timeout;
     const bench::caller_answer answer =
-        co_await bench::send(client_, std::move(asked));
-    if (answer.whole && answer.status == 200) {
-      plans_.shown(least, deployment::number_of_plan(answer.body), answer.body,
-                   node);
+        co_await bench::send(client_, std::move(request));
+    if (answer.complete && answer.status == 200) {
+      plans_.record_read(acknowledged_number,
+                         deployment::number_of_plan(answer.body), answer.body,
+                         node);
     }
     co_await pause(operator_pause);
   }
 }
 
-void begin(deployment& of, const fault& it) {
-  trestlepost::test::process& process = of.process_of(it.node);
+void begin_fault(deployment& target, const fault& it) {
+  trestlepost::test::process& process = target.process_of(it.node);
   switch (it.kind) {
     case fault_kind::kill:
-      of.kill(it.node);
+      target.kill(it.node);
       break;
     case fault_kind::wipe:
-      of.kill(it.node);
-      of.wipe(it.node);
+      target.kill(it.node);
+      target.wipe(it.node);
       break;
     case fault_kind::freeze:
       process.signal(SIGSTOP);
@@ -181,19 +181,19 @@
   }
 }
 
-void end(deployment& of, const fault& it) {
+void end_fault(deployment& target, const fault& it) {
   switch (it.kind) {
     case fault_kind::kill:
     case fault_kind::wipe:
-      of.start(it.node);
+      target.start(it.node);
       break;
     case fault_kind::freeze:
-      of.process_of(it.node).signal(SIGCONT);
+      target.process_of(it.node).signal(SIGCONT);
       break;
     case fault_kind::stop:
       // The node may not have exited yet.
-      of.kill(it.node);
-      of.start(it.node);
+      target.kill(it.node);
+      target.start(it.node);
       break;
     case fault_kind::reload:
       break;
@@ -201,12 +201,12 @@
 }
 
 /// Injects the faults of the schedule; returns when all have ended.
-void play(deployment& of, const std::vector<fault>& schedule) {
+void run_schedule(deployment& target, const std::vector<fault>& schedule) {
   const steady_clock::time_point start = steady_clock::now();
   std::multimap<milliseconds, std::function<void()>> actions;
   for (const fault& it : schedule) {
-    actions.emplace(it.begin, [&of, &it] { begin(of, it); });
-    actions.emplace(it.end, [&of, &it] { end(of, it); });
+    actions.emplace(it.begin, [&target, &it] { begin_fault(target, it); });
+    actions.emplace(it.end, [&target, &it] { end_fault(target, it); });
   }
   for (const auto& [at, action] : actions) {
     std::this_thread::sleep_until(start + at);
@@ -214,31 +214,33 @@
   }
 }
 
-bool serves_again(deployment& of, plan_record& plans) {
+bool all_nodes_serve(deployment& target, plan_record& plans) {
   for (const std::string& it : entries) {
-    if (of.request(it, "GET", "/get/1", "again-" + it).status != 200) {
+    if (target.request(it, "GET", "/get/1", "again-" + it).status != 200) {
       return false;
     }
   }
   for (const std::string& it : control_nodes) {
-    const std::uint64_t least = plans.newest_acknowledged();
-    const bench::caller_answer answer = bench::send_now(of.read_request(it));
-    if (!answer.whole || answer.status != 200) return false;
-    plans.shown(least, deployment::number_of_plan(answer.body), answer.body,
-                it);
+    const std::uint64_t acknowledged_number = plans.newest_acknowledged();
+    const bench::caller_answer answer =
+        bench::send_and_wait(target.read_request(it));
+    if (!answer.complete || answer.status != 200) return false;
+    plans.record_read(acknowledged_number,
+                      deployment::number_of_plan(answer.body), answer.body, it);
   }
   return true;
 }
 
-void check_recovery(deployment& of, plan_record& plans, soak_result& out) {
-  const steady_clock::time_point healed = steady_clock::now();
-  const bool again = wait_until([&] { return serves_again(of, plans); });
-  out.recovery =
-      std::chrono::duration_cast<milliseconds>(steady_clock::now() - healed);
-  if (!again || out.recovery > longest_recovery) {
-    out.found.push_back("not all nodes serve " +
-                        std::to_string(out.recovery.count()) +
-                        " ms after the end of the last fault");
+void check_recovery(deployment& target, plan_record& plans, soak_result& out) {
+  const steady_clock::time_point faults_ended_at = steady_clock::now();
+  const bool recovered =
+      wait_until([&] { return all_nodes_serve(target, plans); });
+  out.recovery = std::chrono::duration_cast<milliseconds>(steady_clock::now() -
+                                                          faults_ended_at);
+  if (!recovered || out.recovery > max_recovery_time) {
+    out.violations.push_back("not all nodes serve " +
+                             std::to_string(out.recovery.count()) +
+                             " ms after the end of the last fault");
   }
 }
 
@@ -248,18 +250,18 @@
   soak_result out;
   deployment it;
   it.bring_up();
-  plan_record plans(out.found);
-  plans.sent(1, deployment::plan(1));
-  plans.acknowledged(1);
+  plan_record plans(out.violations);
+  plans.record_sent(1, deployment::plan(1));
+  plans.record_acknowledged(1);
   const std::vector<fault> schedule =
-      draw_schedule(options.seed, {control_nodes, entries, options.span});
+      make_schedule(options.seed, {control_nodes, entries, options.span});
   {
-    traffic all(it, options.seed, plans);
-    play(it, schedule);
-    all.end();
+    traffic load(it, options.seed, plans);
+    run_schedule(it, schedule);
+    load.stop();
     check_recovery(it, plans, out);
-    request_record requests(out.found, home_endpoints);
-    for (const caller_request_record& one : all.requests()) {
+    request_record requests(out.violations, home_endpoints);
+    for (const request_outcome& one : load.requests()) {
       requests.check(one, it.runs_of(one.id));
     }
     out.answered = requests.answered();
@@ -269,7 +271,7 @@
   out.faults = static_cast<int>(schedule.size());
   out.acknowledged = plans.acknowledgements();
   out.reads = plans.reads();
-  if (!out.found.empty()) out.folder = it.keep();
+  if (!out.violations.empty()) out.folder = it.keep();
   return out;
 }
 
--- a/soak/src/soak_run.h
+++ b/soak/src/soak_run.h
@@ -24,7 +24,7 @@
   int reads = 0;
   /// Time from the end of the last fault until all nodes serve.
   std::chrono::milliseconds recovery{0};
-  violations found;
+  violation_list violations;
   /// Folder with the nodes' logs; kept only if there are violations.
   std::string folder;
 };
--- a/soak/test/request_record-test.cc
+++ b/soak/test/request_record-test.cc
@@ -6,38 +6,40 @@
 namespace trestlepost::soak {
 namespace {
 
-int found_of(request_kind kind, unsigned status, const endpoint_list& ran) {
-  violations found;
-  request_record it(found, {"home"});
+int count_violations(request_kind kind, unsigned status,
+                     const endpoint_names& ran) {
+  violation_list violations;
+  request_record it(violations, {"home"});
   it.check({"id", kind, status}, ran);
-  return static_cast<int>(found.size());
+  return static_cast<int>(violations.size());
 }
 
-TEST(request_record_test, what_holds_is_no_violation) {
-  EXPECT_EQ(found_of(request_kind::repeatable, 200, {"a", "b"}), 0);
-  EXPECT_EQ(found_of(request_kind::run_once, 200, {"a"}), 0);
-  EXPECT_EQ(found_of(request_kind::run_once, 0, {"a"}), 0);
-  EXPECT_EQ(found_of(request_kind::run_once, 503, {}), 0);
-  EXPECT_EQ(found_of(request_kind::bound, 200, {"home"}), 0);
+TEST(request_record_test, allowed_outcomes_are_no_violation) {
+  EXPECT_EQ(count_violations(request_kind::repeatable, 200, {"a", "b"}), 0);
+  EXPECT_EQ(count_violations(request_kind::run_once, 200, {"a"}), 0);
+  EXPECT_EQ(count_violations(request_kind::run_once, 0, {"a"}), 0);
+  EXPECT_EQ(count_violations(request_kind::run_once, 503, {}), 0);
+  EXPECT_EQ(count_violations(request_kind::home_bound, 200, {"home"}), 0);
 }
 
-TEST(request_record_test, a_request_that_ran_twice_is_caught) {
-  EXPECT_EQ(found_of(request_kind::run_once, 200, {"a", "b"}), 1);
-  EXPECT_EQ(found_of(request_kind::run_once, 0, {"a", "b"}), 1);
+TEST(request_record_test, a_duplicate_run_is_a_violation) {
+  EXPECT_EQ(count_violations(request_kind::run_once, 200, {"a", "b"}), 1);
+  EXPECT_EQ(count_violations(request_kind::run_once, 0, {"a", "b"}), 1);
 }
 
-TEST(request_record_test, a_false_promise_is_caught) {
+TEST(request_record_test, a_run_of_a_refused_request_is_a_violation) {
   for (const unsigned status : {408U, 421U, 429U, 503U}) {
-    EXPECT_EQ(found_of(request_kind::repeatable, status, {"a"}), 1) << status;
+    EXPECT_EQ(count_violations(request_kind::repeatable, status, {"a"}), 1)
+        << status;
   }
 }
 
-TEST(request_record_test, an_answer_without_a_run_is_caught) {
-  EXPECT_EQ(found_of(request_kind::repeatable, 200, {}), 1);
+TEST(request_record_test, an_answer_without_a_run_is_a_violation) {
+  EXPECT_EQ(count_violations(request_kind::repeatable, 200, {}), 1);
 }
 
-TEST(request_record_test, a_run_outside_its_home_is_caught) {
-  EXPECT_EQ(found_of(request_kind::bound, 0, {"away"}), 1);
+TEST(request_record_test, a_run_outside_its_home_is_a_violation) {
+  EXPECT_EQ(count_violations(request_kind::home_bound, 0, {"away"}), 1);
 }
 
 }  // namespace
--- a/soak/test/schedule-test.cc
+++ b/soak/test/schedule-test.cc
@@ -19,19 +19,19 @@
          a.end == b.end;
 }
 
-TEST(schedule_test, a_seed_repeats_its_schedule) {
-  const std::vector<fault> first = draw_schedule(7, options);
-  const std::vector<fault> again = draw_schedule(7, options);
+TEST(schedule_test, the_same_seed_gives_the_same_schedule) {
+  const std::vector<fault> first = make_schedule(7, options);
+  const std::vector<fault> again = make_schedule(7, options);
   ASSERT_EQ(first.size(), again.size());
   for (std::size_t i = 0; i < first.size(); ++i) {
     EXPECT_TRUE(same(first[i], again[i])) << i;
   }
 }
 
-TEST(schedule_test, one_control_node_is_struck_at_a_time) {
+TEST(schedule_test, at_most_one_control_node_is_faulty) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     milliseconds free_from{0};
-    for (const fault& it : draw_schedule(seed, options)) {
+    for (const fault& it : make_schedule(seed, options)) {
       if (it.node.front() != 'c') continue;
       EXPECT_GE(it.begin, free_from) << seed;
       free_from = it.end;
@@ -40,12 +40,12 @@
   }
 }
 
-TEST(schedule_test, all_kinds_strike_and_overlap) {
+TEST(schedule_test, all_fault_kinds_occur_and_overlap) {
   std::set<std::pair<fault_kind, char>> seen;
   bool overlap = false;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     milliseconds busy_until{0};
-    for (const fault& it : draw_schedule(seed, options)) {
+    for (const fault& it : make_schedule(seed, options)) {
       seen.insert({it.kind, it.node.front()});
       overlap = overlap || it.begin < busy_until;
       busy_until = std::max(busy_until, it.end);
--- a/tests/test/bad-input-test.cc
+++ b/tests/test/bad-input-test.cc
@@ -25,11 +25,11 @@
   const char* kind;
 };
 
-TEST(bad_input_test, each_mistake_gets_its_typed_error) {
+TEST(bad_input_test, each_invalid_request_gets_its_typed_error) {
   cluster it;
   it.bring_up();
   const char* chat = "/v1/chat/completions";
-  const char* sound = R"({"model":"guida","messages":[]})";
+  const char* valid_body = R"({"model":"guida","messages":[]})";
   const call_case cases[] = {
       {"malformed JSON", chat, "planner-token", "X", "x", "{\"model\":", 400,
        "bad-input"},
@@ -39,22 +39,22 @@
        400, "bad-input"},
       {"unknown service", chat, "planner-token", "X", "x",
        R"({"model":"none"})", 404, "unknown-service"},
-      {"no token", chat, "", "X", "x", sound, 401, "unauthorized"},
-      {"wrong token", chat, "guess", "X", "x", sound, 401, "unauthorized"},
+      {"no token", chat, "", "X", "x", valid_body, 401, "unauthorized"},
+      {"wrong token", chat, "guess", "X", "x", valid_body, 401, "unauthorized"},
       {"label not allowed", chat, "planner-token", "Trestlepost-Labels",
-       "team=terminal", sound, 403, "label-not-allowed"},
+       "team=terminal", valid_body, 403, "label-not-allowed"},
       {"label unreadable", chat, "planner-token", "Trestlepost-Labels", "team",
-       sound, 400, "bad-input"},
+       valid_body, 400, "bad-input"},
       {"priority", chat, "planner-token", "Trestlepost-Priority", "eleven",
-       sound, 400, "bad-input"},
+       valid_body, 400, "bad-input"},
       {"deadline", chat, "planner-token", "Trestlepost-Deadline-Ms", "-5",
-       sound, 400, "bad-input"},
+       valid_body, 400, "bad-input"},
       {"repeatable", chat, "planner-token", "Trestlepost-Repeatable", "maybe",
-       sound, 400, "bad-input"},
-      {"unknown path", "/v2/none", "planner-token", "X", "x", sound, 404,
+       valid_body, 400, "bad-input"},
+      {"unknown path", "/v2/none", "planner-token", "X", "x", valid_body, 404,
        "not-found"},
       {"no path behind the service", "/v1/services/banco", "planner-token", "X",
-       "x", sound, 404, "not-found"},
+       "x", valid_body, 404, "not-found"},
   };
   for (const call_case& one : cases) {
     caller_request request;
@@ -63,18 +63,18 @@
     request.token = one.token;
     request.headers = {{one.header, one.value}};
     request.body = one.body;
-    const caller_answer answer = bench::send_now(request);
+    const caller_answer answer = bench::send_and_wait(request);
     EXPECT_EQ(answer.status, one.status) << one.what << answer.body;
     EXPECT_EQ(answer.kind, one.kind) << one.what;
     EXPECT_EQ(answer.ran, "no") << one.what;
     EXPECT_NE(answer.body.find("remedy"), std::string::npos) << one.what;
   }
   EXPECT_TRUE(it.all_runs().empty());
-  EXPECT_EQ(bench::send_now(it.model_request("isola-1", "planner")).status,
+  EXPECT_EQ(bench::send_and_wait(it.model_request("isola-1", "planner")).status,
             200U);
 }
 
-TEST(bad_input_test, garbage_on_any_port_harms_nobody) {
+TEST(bad_input_test, malformed_bytes_on_any_port_leave_the_node_ready) {
   cluster it;
   it.bring_up();
   const std::string inputs[] = {
@@ -95,15 +95,15 @@
       boost::asio::write(socket, boost::asio::buffer(text), ec);
     }
   }
-  caller_request stranger;
-  stranger.address = it.address("isola-2", 7001);
-  stranger.target = "/forward";
-  stranger.headers = {{"Trestlepost-Forward", R"({"caller":"planner"})"},
-                      {"Trestlepost-Forward-Digest", "00"}};
-  stranger.body = "{}";
-  EXPECT_EQ(bench::send_now(stranger).kind, "unauthorized");
+  caller_request unauthenticated;
+  unauthenticated.address = it.address("isola-2", 7001);
+  unauthenticated.target = "/forward";
+  unauthenticated.headers = {{"Trestlepost-Forward", R"({"caller":"planner"})"},
+                             {"Trestlepost-Forward-Digest", "00"}};
+  unauthenticated.body = "{}";
+  EXPECT_EQ(bench::send_and_wait(unauthenticated).kind, "unauthorized");
   EXPECT_TRUE(it.node_running("isola-2"));
-  EXPECT_EQ(bench::send_now(it.model_request("isola-2", "planner")).status,
+  EXPECT_EQ(bench::send_and_wait(it.model_request("isola-2", "planner")).status,
             200U);
   EXPECT_EQ(it.state("isola-2"), "ready");
 }
--- a/tests/test/cli-test.cc
+++ b/tests/test/cli-test.cc
@@ -37,7 +37,7 @@
   return run(it, std::move(command));
 }
 
-TEST(cli_test, commands_work_against_any_node_with_stated_exit_codes) {
+TEST(cli_test, commands_return_documented_exit_codes_on_any_node) {
   cluster it;
   it.bring_up();
   ::setenv("TRESTLEPOST_TOKEN", "operator-token", 1);
@@ -91,7 +91,7 @@
   EXPECT_EQ(ctl(it, {"status"}, "stretto-2").status, 4);
 }
 
-TEST(cli_test, the_daemon_refuses_bad_settings_before_it_starts) {
+TEST(cli_test, the_daemon_rejects_invalid_settings_at_start) {
   cluster it;
   it.bring_up();
   std::ofstream(it.folder() + "/typo.jsonc")
--- a/tests/test/cluster.cc
+++ b/tests/test/cluster.cc
@@ -24,19 +24,20 @@
 constexpr int operators_port = 7002;
 constexpr int peers_port = 7003;
 constexpr int endpoint_port = 9000;
-constexpr int own_region = 20;  // octet of the platform and the relay control
+// Second octet of the addresses of the platform and the relay control.
+constexpr int infrastructure_octet = 20;
 
-struct region_place {
+struct region_info {
   const char* name;
   int octet;
   int nodes;
 };
 
-constexpr region_place regions[] = {
+constexpr region_info regions[] = {
     {"isola", 21, 3}, {"stretto", 22, 2}, {"golfo", 23, 2}};
 
 int octet_of(const std::string& region) {
-  for (const region_place& it : regions) {
+  for (const region_info& it : regions) {
     if (region == it.name) return it.octet;
   }
   return 0;
@@ -46,37 +47,39 @@
   return ip + ":" + std::to_string(port);
 }
 
-std::string bin(const char* name) {
+std::string program_path(const char* name) {
   return std::string(TRESTLEPOST_BIN) + "/" + name;
 }
 
 }  // namespace
 
-bool eventually(const std::function<bool()>& holds,
+bool eventually(const std::function<bool()>& condition,
                 std::chrono::seconds limit) {
   const std::chrono::steady_clock::time_point end =
       std::chrono::steady_clock::now() + limit;
   while (std::chrono::steady_clock::now() < end) {
-    if (holds()) return true;
+    if (condition()) return true;
     std::this_thread::sleep_for(milliseconds(50));
   }
-  return holds();
+  return condition();
 }
 
 cluster::cluster(cluster_options options)
     : options_(options),
-      platform_address_(with_port(range_.ip(own_region, 1, 2), endpoint_port)),
-      relay_control_(with_port(range_.ip(own_region, 1, 3), endpoint_port)) {
+      platform_address_(
+          with_port(range_.ip(infrastructure_octet, 1, 2), endpoint_port)),
+      relay_control_(
+          with_port(range_.ip(infrastructure_octet, 1, 3), endpoint_port)) {
   std::string name =
       (std::filesystem::temp_directory_path() / "trestlepost-XXXXXX").string();
   if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("mkdtemp");
   folder_ = name;
   std::ofstream(folder_ + "/peer-secret") << "a secret of test peers";
   std::filesystem::create_symlink(TRESTLEPOST_CHARTS, folder_ + "/charts");
-  for (const region_place& region : regions) {
+  for (const region_info& region : regions) {
     for (int i = 1; i <= region.nodes; ++i) {
-      places_.push_back({std::string(region.name) + "-" + std::to_string(i),
-                         region.name, region.octet, i, i == 1});
+      nodes_.push_back({std::string(region.name) + "-" + std::to_string(i),
+                        region.name, region.octet, i, i == 1});
     }
     for (unsigned i = 1; i <= options_.endpoints; ++i) {
       endpoints_.push_back(
@@ -87,13 +90,13 @@
     endpoints_.push_back({"banco-" + std::string(region.name), region.name,
                           range_.ip(region.octet, 3, 1), true});
   }
-  std::vector<std::string> relay{bin("trestlepost-bench"),
+  std::vector<std::string> relay{program_path("trestlepost-bench"),
                                  "relay",
                                  "--control",
                                  relay_control_,
                                  "--delay-ms",
                                  std::to_string(options_.delay_ms)};
-  for (const node_place& it : places_) {
+  for (const node_info& it : nodes_) {
     write_settings(it);
     for (const int port : {forwards_port, peers_port}) {
       relay.emplace_back("--link");
@@ -102,11 +105,11 @@
     }
   }
   processes_.emplace("relay", process(relay, folder_, folder_ + "/relay.log"));
-  processes_.emplace("platform",
-                     process({bin("trestlepost-bench"), "platform", "--address",
-                              platform_address_, "--lag-ms", "300"},
-                             folder_, folder_ + "/platform.log"));
-  for (const endpoint_place& it : endpoints_) start_endpoint(it.name);
+  processes_.emplace(
+      "platform", process({program_path("trestlepost-bench"), "platform",
+                           "--address", platform_address_, "--lag-ms", "300"},
+                          folder_, folder_ + "/platform.log"));
+  for (const endpoint_info& it : endpoints_) start_endpoint(it.name);
 }
 
 cluster::~cluster() {
@@ -127,7 +130,7 @@
   out["timing"]["endpoint_ramp"] = "1 s";
 }
 
-void cluster::write_settings(const node_place& it) const {
+void cluster::write_settings(const node_info& it) const {
   json out;
   out["node"] = it.name;
   out["region"] = it.region;
@@ -147,7 +150,7 @@
   out["advertised"]["forwards"] = with_port(relayed, forwards_port);
   out["advertised"]["peers"] = with_port(relayed, peers_port);
   out["outgoing_ip"] = own;
-  for (const node_place& other : places_) {
+  for (const node_info& other : nodes_) {
     const std::string at =
         with_port(range_.ip(other.octet, 4, other.number), peers_port);
     if (other.control) {
@@ -179,7 +182,7 @@
 
 std::string cluster::configuration() const {
   json out;
-  for (const region_place& it : regions) {
+  for (const region_info& it : regions) {
     json region;
     region["name"] = it.name;
     region["labels"]["side"] = it.octet == 23 ? "north" : "south";
@@ -195,7 +198,7 @@
   banco["repeatable"] = false;
   banco["timeout"] = "10 s";
   out["services"].append(std::move(banco));
-  for (const endpoint_place& it : endpoints_) {
+  for (const endpoint_info& it : endpoints_) {
     json one;
     one["name"] = it.name;
     one["service"] = it.plain ? "banco" : "guida";
@@ -238,12 +241,12 @@
 }
 
 void cluster::start_nodes() {
-  for (const node_place& it : places_) start_node(it.name);
+  for (const node_info& it : nodes_) start_node(it.name);
 }
 
 void cluster::bring_up() {
   start_nodes();
-  const std::string first = places_.front().name;
+  const std::string first = nodes_.front().name;
   if (!eventually([&] { return rpc(first, "init").has_value(); })) {
     throw std::runtime_error("the group was not founded: " + log_of(first));
   }
@@ -252,32 +255,32 @@
   }
   json last;
   const bool up = eventually([this, &last] {
-    for (const node_place& it : places_) {
+    for (const node_info& it : nodes_) {
       last = status(it.name);
       if (text_of(last, "state") != "ready") return false;
       if (number_of(last, "revision") == 0) return false;
       if (text_of(member_of(last, "ledger"), "leader").empty()) return false;
-      if (member_of(last, "nodes").size() != places_.size()) return false;
+      if (member_of(last, "nodes").size() != nodes_.size()) return false;
     }
     return true;
   });
   if (!up) throw std::runtime_error("not ready: " + to_text(last));
 }
 
-const cluster::node_place& cluster::place(const std::string& name) const {
-  for (const node_place& it : places_) {
+const cluster::node_info& cluster::find_node(const std::string& name) const {
+  for (const node_info& it : nodes_) {
     if (it.name == name) return it;
   }
   throw std::runtime_error("no node " + name);
 }
 
 std::string cluster::address(const std::string& node, int port) const {
-  const node_place& it = place(node);
+  const node_info& it = find_node(node);
   return with_port(range_.ip(it.octet, 1, it.number), port);
 }
 
 std::string cluster::endpoint_address(const std::string& endpoint) const {
-  for (const endpoint_place& it : endpoints_) {
+  for (const endpoint_info& it : endpoints_) {
     if (it.name == endpoint) return with_port(it.ip, endpoint_port);
   }
   throw std::runtime_error("no endpoint " + endpoint);
@@ -285,9 +288,9 @@
 
 void cluster::start_node(const std::string& name) {
   processes_.erase(name);
-  processes_.emplace(
-      name, process({bin("trestlepostd"), "--settings", name + ".jsonc"},
-                    folder_, folder_ + "/" + name + ".log"));
+  processes_.emplace(name, process({program_path("trestlepostd"), "--settings",
+                                    name + ".jsonc"},
+                                   folder_, folder_ + "/" + name + ".log"));
 }
 
 void cluster::kill_node(const std::string& name) {
@@ -306,7 +309,7 @@
   processes_.at(name).signal(SIGTERM);
 }
 
-int cluster::wait_node(const std::string& name) {
+int cluster::wait_for_exit(const std::string& name) {
   return processes_.at(name).wait();
 }
 
@@ -324,9 +327,9 @@
 }
 
 void cluster::start_endpoint(const std::string& name) {
-  for (const endpoint_place& it : endpoints_) {
+  for (const endpoint_info& it : endpoints_) {
     if (it.name != name) continue;
-    std::vector<std::string> command{bin("trestlepost-bench"),
+    std::vector<std::string> command{program_path("trestlepost-bench"),
                                      "endpoint",
                                      "--name",
                                      it.name,
@@ -349,43 +352,44 @@
   }
 }
 
-void cluster::fault(const std::string& endpoint, const std::string& name) {
-  for (const endpoint_place& it : endpoints_) {
+void cluster::inject_fault(const std::string& endpoint,
+                           const std::string& name) {
+  for (const endpoint_info& it : endpoints_) {
     if (it.name != endpoint) continue;
     bench::caller_request request;
     request.address = with_port(it.ip, endpoint_port);
     request.target = "/stand-in/fault?" + name;
-    bench::send_now(request);
+    bench::send_and_wait(request);
   }
 }
 
-void cluster::platform_says(const std::string& endpoint, bool leaving) {
-  for (const endpoint_place& it : endpoints_) {
+void cluster::set_platform_state(const std::string& endpoint, bool leaving) {
+  for (const endpoint_info& it : endpoints_) {
     if (it.name != endpoint) continue;
     bench::caller_request request;
     request.address = platform_address_;
     request.target =
         std::string(leaving ? "/stand-in/leaving?" : "/stand-in/live?") + it.ip;
-    bench::send_now(request);
+    bench::send_and_wait(request);
   }
 }
 
-void cluster::control_relay(const std::string& query) {
+void cluster::change_links(const std::string& query) {
   bench::caller_request request;
   request.address = relay_control_;
   request.target = "/link?" + query;
-  bench::send_now(request);
+  bench::send_and_wait(request);
 }
 
 void cluster::cut(const std::string& from, const std::string& to) {
   const std::string a = from == "*" ? from : std::to_string(octet_of(from));
   const std::string b = to == "*" ? to : std::to_string(octet_of(to));
-  control_relay("from=" + a + "&to=" + b + "&cut=1");
-  control_relay("from=" + b + "&to=" + a + "&cut=1");
+  change_links("from=" + a + "&to=" + b + "&cut=1");
+  change_links("from=" + b + "&to=" + a + "&cut=1");
 }
 
 void cluster::heal() {
-  control_relay("from=*&to=*&cut=0");
+  change_links("from=*&to=*&cut=0");
 }
 
 result<json> cluster::rpc(const std::string& node, const std::string& method,
@@ -471,10 +475,10 @@
   return out;
 }
 
-bench::caller_request cluster::booking(const std::string& node,
-                                       const std::string& caller,
-                                       const std::string& key,
-                                       const std::string& body) {
+bench::caller_request cluster::booking_request(const std::string& node,
+                                               const std::string& caller,
+                                               const std::string& key,
+                                               const std::string& body) {
   bench::caller_request out;
   out.address = address(node, callers_port);
   out.token = caller + "-token";
@@ -510,32 +514,32 @@
 
 std::vector<std::string> cluster::nodes() const {
   std::vector<std::string> out;
-  for (const node_place& it : places_) out.push_back(it.name);
+  for (const node_info& it : nodes_) out.push_back(it.name);
   return out;
 }
 
 std::vector<std::string> cluster::control_nodes() const {
   std::vector<std::string> out;
-  for (const node_place& it : places_) {
+  for (const node_info& it : nodes_) {
     if (it.control) out.push_back(it.name);
   }
   return out;
 }
 
-std::chrono::milliseconds cluster::cpu_of(const std::string& node) const {
+std::chrono::milliseconds cluster::cpu_time_of(const std::string& node) const {
   return processes_.at(node).cpu_time();
 }
 
-std::uint64_t cluster::memory_of(const std::string& node) const {
+std::uint64_t cluster::resident_bytes_of(const std::string& node) const {
   return processes_.at(node).resident_bytes();
 }
 
-std::uint64_t cluster::peer_bytes_of(const std::string& node) {
+std::uint64_t cluster::peer_bytes_sent_by(const std::string& node) {
   bench::caller_request request;
   request.address = address(node, operators_port);
   request.method = "GET";
   request.target = "/metrics";
-  const std::string body = bench::send_now(request).body;
+  const std::string body = bench::send_and_wait(request).body;
   const std::string name = "trestlepost_node{what=\"peer_bytes_sent\"} ";
   const std::size_t at = body.find(name);
   if (at == std::string::npos) return 0;
@@ -546,8 +550,8 @@
   std::ifstream in(folder_ + "/" + node + ".log");
   const std::string all{std::istreambuf_iterator<char>(in),
                         std::istreambuf_iterator<char>()};
-  constexpr std::size_t shown = 2000;
-  return all.size() > shown ? all.substr(all.size() - shown) : all;
+  constexpr std::size_t max_bytes = 2000;
+  return all.size() > max_bytes ? all.substr(all.size() - max_bytes) : all;
 }
 
 }  // namespace trestlepost::test
--- a/tests/test/cluster.h
+++ b/tests/test/cluster.h
@@ -48,7 +48,7 @@
   void thaw_node(const std::string& name);    // SIGCONT
   void stop_node(const std::string& name);    // SIGTERM, does not wait
   /// Waits until the node exits; returns its exit status.
-  int wait_node(const std::string& name);
+  int wait_for_exit(const std::string& name);
   /// Removes the data folder of a node that doesn't run.
   void wipe_node(const std::string& name);
   bool node_running(const std::string& name);
@@ -56,9 +56,9 @@
   void kill_endpoint(const std::string& name);
   void start_endpoint(const std::string& name);
   /// Injects a fault into a stand-in endpoint; "none" ends it.
-  void fault(const std::string& endpoint, const std::string& name);
+  void inject_fault(const std::string& endpoint, const std::string& name);
   /// Sets the state of the endpoint's VM in the platform list.
-  void platform_says(const std::string& endpoint, bool leaving);
+  void set_platform_state(const std::string& endpoint, bool leaving);
 
   /// Cuts both directions between two regions; "*" stands for all regions.
   void cut(const std::string& from, const std::string& to);
@@ -85,10 +85,9 @@
   bench::caller_request model_request(const std::string& node,
                                       const std::string& caller,
                                       bool stream = false);
-  bench::caller_request booking(const std::string& node,
-                                const std::string& caller,
-                                const std::string& key,
-                                const std::string& body = R"({"slot":"1"})");
+  bench::caller_request booking_request(
+      const std::string& node, const std::string& caller,
+      const std::string& key, const std::string& body = R"({"slot":"1"})");
 
   /// Started runs in any region, by request id, by idempotency key, or all.
   std::vector<bench::run_record> runs_of(const std::string& request_id) const;
@@ -104,45 +103,45 @@
   std::string log_of(const std::string& node) const;
 
   /// CPU time used by a node.
-  std::chrono::milliseconds cpu_of(const std::string& node) const;
+  std::chrono::milliseconds cpu_time_of(const std::string& node) const;
   /// Resident memory of a node, in bytes.
-  std::uint64_t memory_of(const std::string& node) const;
+  std::uint64_t resident_bytes_of(const std::string& node) const;
   /// Bytes sent by a node to its peers.
-  std::uint64_t peer_bytes_of(const std::string& node);
+  std::uint64_t peer_bytes_sent_by(const std::string& node);
 
  private:
-  struct node_place {
+  struct node_info {
     std::string name;
     std::string region;
     int octet = 0;
     int number = 0;
     bool control = false;
   };
-  struct endpoint_place {
+  struct endpoint_info {
     std::string name;
     std::string region;
     std::string ip;
     bool plain = false;
   };
 
-  void write_settings(const node_place& it) const;
+  void write_settings(const node_info& it) const;
   void set_fast_timing(json& settings) const;
   std::string configuration() const;
-  const node_place& place(const std::string& name) const;
-  void control_relay(const std::string& query);
+  const node_info& find_node(const std::string& name) const;
+  void change_links(const std::string& query);
 
   cluster_options options_;
   loopback_range range_;  // before processes_: released after they have ended
   std::string platform_address_;
   std::string relay_control_;
   std::string folder_;
-  std::vector<node_place> places_;
-  std::vector<endpoint_place> endpoints_;
+  std::vector<node_info> nodes_;
+  std::vector<endpoint_info> endpoints_;
   std::map<std::string, process> processes_;
 };
 
-/// Polls `holds` until it is true or `limit` has passed; returns its value.
-bool eventually(const std::function<bool()>& holds,
+/// Polls `condition` until it is true or `limit` has passed; returns its value.
+bool eventually(const std::function<bool()>& condition,
                 std::chrono::seconds limit = std::chrono::seconds(30));
 
 }  // namespace trestlepost::test
--- a/tests/test/configuration-faults-test.cc
+++ b/tests/test/configuration-faults-test.cc
@@ -16,7 +16,7 @@
          mark + R"("}}]})";
 }
 
-std::string mark_on(cluster& it, const std::string& node) {
+std::string mark_at(cluster& it, const std::string& node) {
   json params;
   params["kind"] = "region";
   params["name"] = "golfo";
@@ -32,7 +32,7 @@
 bool in_force_everywhere(cluster& it, const std::string& mark) {
   for (const std::string& node : it.nodes()) {
     if (!it.node_running(node)) continue;
-    if (mark_on(it, node) != mark) return false;
+    if (mark_at(it, node) != mark) return false;
   }
   return true;
 }
@@ -45,7 +45,7 @@
 }
 
 /// Whether all three control nodes are voters with their current incarnation.
-bool fully_repaired(cluster& it) {
+bool all_control_nodes_vote(cluster& it) {
   const std::string leader = it.leader();
   if (leader.empty()) return false;
   const json now = it.status(leader);
@@ -59,7 +59,7 @@
   return true;
 }
 
-TEST(configuration_faults_test, a_killed_leader_loses_nothing_accepted) {
+TEST(configuration_faults_test, a_killed_leader_loses_no_accepted_change) {
   cluster it;
   it.bring_up();
   for (int i = 0; i < 3; ++i) {
@@ -70,11 +70,11 @@
     ASSERT_TRUE(eventually([&] { return !it.leader().empty(); }));
     EXPECT_TRUE(eventually([&] { return in_force_everywhere(it, mark); }));
     it.start_node(leader);
-    EXPECT_TRUE(eventually([&] { return mark_on(it, leader) == mark; }));
+    EXPECT_TRUE(eventually([&] { return mark_at(it, leader) == mark; }));
   }
 }
 
-TEST(configuration_faults_test, a_frozen_leader_wakes_as_a_follower) {
+TEST(configuration_faults_test, a_suspended_leader_resumes_as_a_follower) {
   cluster it;
   it.bring_up();
   const std::string frozen = it.wait_for_leader();
@@ -91,7 +91,7 @@
   }));
   it.thaw_node(frozen);
   EXPECT_TRUE(
-      eventually([&] { return mark_on(it, frozen) == "while-frozen"; }));
+      eventually([&] { return mark_at(it, frozen) == "while-frozen"; }));
   EXPECT_NE(it.leader(), frozen);
   const result<json> late = it.apply(frozen, region_with("after-thaw"));
   EXPECT_EQ(status_of(late), "accepted");
@@ -99,7 +99,7 @@
       eventually([&] { return in_force_everywhere(it, "after-thaw"); }));
 }
 
-TEST(configuration_faults_test, a_second_disk_lost_after_the_repair) {
+TEST(configuration_faults_test, disks_lost_one_after_another_lose_no_change) {
   cluster it;
   it.bring_up();
   std::string mark;
@@ -111,14 +111,13 @@
     it.kill_node(name);
     it.wipe_node(name);
     it.start_node(name);
-    ASSERT_TRUE(eventually([&] { return fully_repaired(it); })) << name;
+    ASSERT_TRUE(eventually([&] { return all_control_nodes_vote(it); })) << name;
   }
   EXPECT_TRUE(eventually([&] { return in_force_everywhere(it, mark); }));
   EXPECT_EQ(status_of(it.apply("golfo-2", region_with("last"))), "accepted");
 }
 
-TEST(configuration_faults_test,
-     two_disks_lost_at_once_stop_changes_not_requests) {
+TEST(configuration_faults_test, two_lost_disks_block_changes_but_not_requests) {
   cluster it;
   it.bring_up();
   ASSERT_EQ(status_of(it.apply("isola-1", region_with("kept"))), "accepted");
@@ -133,20 +132,22 @@
   ASSERT_FALSE(refused);
   EXPECT_EQ(refused.error().kind, error_kind::unavailable);
   EXPECT_FALSE(it.rpc("isola-1", "init")) << "a second group was founded";
-  EXPECT_EQ(bench::send_now(it.model_request("golfo-2", "mainland")).status,
-            200U);
-  EXPECT_EQ(mark_on(it, "golfo-1"), "kept");
+  EXPECT_EQ(
+      bench::send_and_wait(it.model_request("golfo-2", "mainland")).status,
+      200U);
+  EXPECT_EQ(mark_at(it, "golfo-1"), "kept");
 
   ASSERT_TRUE(it.rpc("golfo-1", "recover"));
-  EXPECT_TRUE(eventually([&] { return fully_repaired(it); }));
+  EXPECT_TRUE(eventually([&] { return all_control_nodes_vote(it); }));
   EXPECT_TRUE(eventually([&] { return it.state("isola-3") == "ready"; }));
-  EXPECT_EQ(mark_on(it, "isola-1"), "kept");
+  EXPECT_EQ(mark_at(it, "isola-1"), "kept");
   EXPECT_EQ(status_of(it.apply("isola-2", region_with("after"))), "accepted");
   EXPECT_TRUE(eventually([&] { return in_force_everywhere(it, "after"); }));
   EXPECT_FALSE(it.rpc("golfo-1", "recover")) << "the group has a leader";
 }
 
-TEST(configuration_faults_test, an_empty_founder_does_not_found_again) {
+TEST(configuration_faults_test,
+     a_founder_with_a_lost_disk_founds_no_second_group) {
   cluster it;
   it.bring_up();
   const result<json> again = it.rpc("isola-1", "init");
@@ -158,11 +159,12 @@
   eventually([&] { return !it.status("isola-1").empty(); });
   const result<json> empty = it.rpc("isola-1", "init");
   EXPECT_FALSE(empty);
-  EXPECT_TRUE(eventually([&] { return fully_repaired(it); }));
+  EXPECT_TRUE(eventually([&] { return all_control_nodes_vote(it); }));
   EXPECT_EQ(status_of(it.apply("isola-1", region_with("after"))), "accepted");
 }
 
-TEST(configuration_faults_test, a_cut_off_region_is_isolated_and_catches_up) {
+TEST(configuration_faults_test,
+     a_partitioned_region_is_isolated_and_catches_up) {
   cluster it;
   it.bring_up();
   it.cut("golfo", "isola");
@@ -172,7 +174,7 @@
     return status_of(it.apply("isola-2", region_with("while-cut"))) ==
            "accepted";
   }));
-  EXPECT_NE(mark_on(it, "golfo-1"), "while-cut");
+  EXPECT_NE(mark_at(it, "golfo-1"), "while-cut");
   const result<json> refused = it.apply("golfo-1", region_with("from-inside"));
   EXPECT_FALSE(refused);
   it.heal();
@@ -186,7 +188,7 @@
 }
 
 TEST(configuration_faults_test,
-     a_region_cut_from_the_leader_asks_through_others) {
+     a_region_partitioned_from_the_leader_polls_through_another) {
   cluster it;
   it.bring_up();
   const std::string home = region_of(it.wait_for_leader());
@@ -201,7 +203,7 @@
   it.heal();
 }
 
-TEST(configuration_faults_test, many_changes_then_a_restart_of_all) {
+TEST(configuration_faults_test, a_restart_of_all_nodes_keeps_many_changes) {
   cluster it;
   it.bring_up();
   constexpr int changes = 500;
@@ -224,10 +226,10 @@
     }
     return true;
   }));
-  EXPECT_EQ(mark_on(it, "stretto-2"), std::to_string(changes - 1));
+  EXPECT_EQ(mark_at(it, "stretto-2"), std::to_string(changes - 1));
 }
 
-TEST(configuration_faults_test, of_racing_operators_exactly_one_wins) {
+TEST(configuration_faults_test, exactly_one_of_concurrent_changes_is_accepted) {
   cluster it;
   it.bring_up();
   for (int round = 0; round < 5; ++round) {
@@ -249,7 +251,7 @@
   }
 }
 
-TEST(configuration_faults_test, a_resent_change_gets_its_first_result) {
+TEST(configuration_faults_test, a_retried_change_gets_its_first_result) {
   cluster it;
   it.bring_up();
   const std::string first = it.wait_for_leader();
@@ -267,10 +269,10 @@
   const result<json> other_change =
       it.apply(other, region_with("another"), "change-1");
   EXPECT_EQ(status_of(other_change), "mismatch");
-  EXPECT_EQ(mark_on(it, other), "later");
+  EXPECT_EQ(mark_at(it, other), "later");
 }
 
-TEST(configuration_faults_test, the_audit_trail_tells_who_changed_what) {
+TEST(configuration_faults_test, the_audit_log_records_operator_and_change) {
   cluster it;
   it.bring_up();
   ASSERT_EQ(status_of(it.apply("isola-2", region_with("audited"), "c-ok")),
--- a/tests/test/held-requests-test.cc
+++ b/tests/test/held-requests-test.cc
@@ -12,9 +12,9 @@
 using bench::caller_answer;
 using bench::caller_request;
 
-constexpr int most_rounds = 8;
+constexpr int max_rounds = 8;
 /// Time between the crash of an endpoint and its restart.
-constexpr std::chrono::milliseconds down_time{1000};
+constexpr std::chrono::milliseconds restart_delay{1000};
 
 /// A long-running request of a caller that is bound to golfo. Requests differ
 /// only in their id, so that they have the same fingerprint.
@@ -41,25 +41,25 @@
 
 /// Sends the request, kills the endpoint that runs it and restarts the
 /// endpoint.
-caller_answer run_and_end_endpoint(cluster& it, const std::string& node) {
+caller_answer run_and_kill_endpoint(cluster& it, const std::string& node) {
   const caller_request request = long_request(it, node);
   caller_answer answer;
-  std::thread caller([&] { answer = bench::send_now(request); });
+  std::thread caller([&] { answer = bench::send_and_wait(request); });
   const std::string runner = runner_of(it, request.headers.front().second);
   if (!runner.empty()) it.kill_endpoint(runner);
   caller.join();
   if (runner.empty()) return answer;
-  std::this_thread::sleep_for(down_time);
+  std::this_thread::sleep_for(restart_delay);
   it.start_endpoint(runner);
   return answer;
 }
 
-TEST(held_requests_test, operators_see_what_is_held_and_release_it) {
+TEST(held_requests_test, operators_list_and_release_held_requests) {
   cluster it;
   it.bring_up();
   caller_answer last;
-  for (int n = 0; n < most_rounds && last.kind != "request-held"; ++n) {
-    last = run_and_end_endpoint(it, n % 2 == 0 ? "golfo-1" : "golfo-2");
+  for (int n = 0; n < max_rounds && last.kind != "request-held"; ++n) {
+    last = run_and_kill_endpoint(it, n % 2 == 0 ? "golfo-1" : "golfo-2");
   }
   ASSERT_EQ(last.kind, "request-held") << last.body;
   EXPECT_EQ(last.status, 503U);
@@ -74,10 +74,11 @@
   });
   ASSERT_TRUE(listed);
   const caller_answer elsewhere =
-      bench::send_now(long_request(it, "stretto-1"));
+      bench::send_and_wait(long_request(it, "stretto-1"));
   EXPECT_EQ(elsewhere.kind, "request-held") << elsewhere.body;
-  EXPECT_EQ(bench::send_now(it.model_request("golfo-1", "mainland")).status,
-            200U);
+  EXPECT_EQ(
+      bench::send_and_wait(it.model_request("golfo-1", "mainland")).status,
+      200U);
 
   json params;
   params["fingerprint"] = fingerprint;
@@ -85,7 +86,7 @@
   ASSERT_TRUE(released) << released.error().message;
   EXPECT_EQ(text_of(*released, "status"), "accepted");
   const bool served = eventually([&] {
-    return bench::send_now(long_request(it, "golfo-1")).status == 200;
+    return bench::send_and_wait(long_request(it, "golfo-1")).status == 200;
   });
   EXPECT_TRUE(served);
   const result<json> again = it.rpc("stretto-2", "release", params);
--- a/tests/test/loopback_range.h
+++ b/tests/test/loopback_range.h
@@ -21,7 +21,7 @@
 
  private:
   /// Binds the marker socket of the range; false if another process has it.
-  bool hold(int range);
+  bool try_reserve(int range);
 
   int socket_ = -1;
   int range_ = 0;
--- a/tests/test/process.cc
+++ b/tests/test/process.cc
@@ -23,15 +23,15 @@
   return all;
 }
 
-void end_children(int number) {
+void kill_children(int number) {
   for (const pid_t it : running_children()) ::kill(it, SIGKILL);
   ::signal(number, SIG_DFL);
   ::raise(number);
 }
 
-void watch_for_end() {
+void install_signal_handlers() {
   for (const int it : {SIGTERM, SIGINT, SIGABRT, SIGSEGV}) {
-    ::signal(it, end_children);
+    ::signal(it, kill_children);
   }
 }
 
@@ -53,14 +53,14 @@
   posix_spawn_file_actions_adddup2(&actions, 1, 2);
   // Closes inherited sockets: those of stand-ins in the test process would
   // otherwise stay open in the child after the stand-in closes them.
-  constexpr int first_beyond_standard = 3;
-  posix_spawn_file_actions_addclosefrom_np(&actions, first_beyond_standard);
+  constexpr int first_nonstandard_fd = 3;
+  posix_spawn_file_actions_addclosefrom_np(&actions, first_nonstandard_fd);
   const int failed = ::posix_spawn(&id_, arguments[0], &actions, nullptr,
                                    arguments.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
   if (failed != 0) throw std::runtime_error("cannot start " + command[0]);
   running_children().push_back(id_);
-  watch_for_end();
+  install_signal_handlers();
 }
 
 process::process(process&& other) noexcept
--- a/tests/test/request-faults-test.cc
+++ b/tests/test/request-faults-test.cc
@@ -30,16 +30,16 @@
   }
 }
 
-struct border_case {
+struct placement_case {
   const char* caller;
   const char* entry;
   std::vector<std::string> permitted;
 };
 
-TEST(request_faults_test, a_request_runs_inside_its_borders_from_any_entry) {
+TEST(request_faults_test, a_request_runs_only_in_permitted_regions) {
   cluster it;
   it.bring_up();
-  const border_case cases[] = {
+  const placement_case cases[] = {
       {"planner", "golfo-1", {"isola", "stretto", "golfo"}},
       {"terminal", "golfo-2", {"isola", "stretto"}},
       {"terminal", "isola-3", {"isola", "stretto"}},
@@ -47,26 +47,26 @@
       {"mainland", "stretto-2", {"golfo"}},
       {"hidden", "isola-2", {"isola"}},
   };
-  for (const border_case& one : cases) {
+  for (const placement_case& one : cases) {
     for (const bool stream : {false, true}) {
       const caller_request request =
           it.model_request(one.entry, one.caller, stream);
-      const caller_answer answer = bench::send_now(request);
+      const caller_answer answer = bench::send_and_wait(request);
       EXPECT_EQ(answer.status, 200U) << one.caller << " " << answer.body;
-      EXPECT_TRUE(answer.whole);
+      EXPECT_TRUE(answer.complete);
       EXPECT_NE(answer.body.find(id_of(request)), std::string::npos);
       expect_runs_in(it, id_of(request), one.permitted);
       EXPECT_EQ(it.runs_of(id_of(request)).size(), 1U);
     }
   }
   caller_request unruled = it.model_request("isola-1", "nobody");
-  const caller_answer refused = bench::send_now(unruled);
+  const caller_answer refused = bench::send_and_wait(unruled);
   EXPECT_EQ(refused.status, 403U);
   EXPECT_EQ(refused.kind, "no-matching-rule");
   EXPECT_EQ(refused.ran, "no");
   EXPECT_TRUE(it.runs_of(id_of(unruled)).empty());
   const caller_request hidden = it.model_request("golfo-1", "hidden");
-  const caller_answer transit = bench::send_now(hidden);
+  const caller_answer transit = bench::send_and_wait(hidden);
   EXPECT_EQ(transit.kind, "transit-refused");
   const std::vector<std::string> entries{"isola-1", "isola-2", "isola-3"};
   const bool named = std::any_of(
@@ -77,22 +77,21 @@
                      << transit.body;
 }
 
-TEST(request_faults_test, without_a_permitted_region_it_is_refused_not_moved) {
+TEST(request_faults_test, a_request_without_a_permitted_endpoint_is_refused) {
   cluster it;
   it.bring_up();
   for (const char* endpoint : {"guida-golfo-1", "guida-golfo-2"}) {
     it.kill_endpoint(endpoint);
   }
   const caller_request request = it.model_request("isola-1", "mainland");
-  const caller_answer answer = bench::send_now(request);
+  const caller_answer answer = bench::send_and_wait(request);
   EXPECT_GE(answer.status, 500U);
   EXPECT_EQ(answer.ran, "no");
   EXPECT_FALSE(answer.retry_after.empty());
   EXPECT_TRUE(it.runs_of(id_of(request)).empty());
 }
 
-TEST(request_faults_test,
-     a_cut_off_region_serves_its_own_and_crosses_no_border) {
+TEST(request_faults_test, a_partitioned_region_serves_only_permitted_requests) {
   cluster it;
   it.bring_up();
   it.cut("golfo", "isola");
@@ -109,28 +108,28 @@
     return applied && text_of(*applied, "status") == "accepted";
   }));
   const caller_request own = it.model_request("golfo-1", "planner");
-  EXPECT_EQ(bench::send_now(own).status, 200U);
+  EXPECT_EQ(bench::send_and_wait(own).status, 200U);
   expect_runs_in(it, id_of(own), {"golfo"});
   const caller_request foreign = it.model_request("golfo-1", "terminal");
-  const caller_answer refused = bench::send_now(foreign);
+  const caller_answer refused = bench::send_and_wait(foreign);
   EXPECT_EQ(refused.ran, "no") << refused.body;
   EXPECT_TRUE(it.runs_of(id_of(foreign)).empty());
   const caller_request moved = it.model_request("isola-1", "mainland");
-  EXPECT_EQ(bench::send_now(moved).status, 200U);
+  EXPECT_EQ(bench::send_and_wait(moved).status, 200U);
   expect_runs_in(it, id_of(moved), {"isola"});
   it.heal();
   ASSERT_TRUE(eventually([&] { return it.state("golfo-1") == "ready"; }));
   const caller_request after = it.model_request("golfo-1", "mainland");
-  EXPECT_EQ(bench::send_now(after).status, 200U);
+  EXPECT_EQ(bench::send_and_wait(after).status, 200U);
   expect_runs_in(it, id_of(after), {"isola"});
 }
 
 struct endpoint_fault_case {
   const char* fault;
-  bool may_answer;  // whether a complete answer is possible
+  bool can_succeed;  // whether a complete answer is possible
 };
 
-TEST(request_faults_test, an_answer_is_whole_and_own_or_visibly_broken) {
+TEST(request_faults_test, an_answer_is_complete_or_visibly_interrupted) {
   cluster it;
   it.bring_up();
   const endpoint_fault_case cases[] = {
@@ -141,20 +140,21 @@
   };
   for (const endpoint_fault_case& one : cases) {
     for (const char* region : {"isola", "stretto", "golfo"}) {
-      it.fault("guida-" + std::string(region) + "-1", one.fault);
-      it.fault("guida-" + std::string(region) + "-2", one.fault);
+      it.inject_fault("guida-" + std::string(region) + "-1", one.fault);
+      it.inject_fault("guida-" + std::string(region) + "-2", one.fault);
     }
     for (const bool stream : {false, true}) {
       for (int i = 0; i < 4; ++i) {
         const caller_request request =
             it.model_request("isola-1", "planner", stream);
-        const caller_answer answer = bench::send_now(request);
-        const bool good = answer.status == 200 && answer.whole;
-        const bool own = answer.body.find(id_of(request)) != std::string::npos;
+        const caller_answer answer = bench::send_and_wait(request);
+        const bool good = answer.status == 200 && answer.complete;
+        const bool echoes_id =
+            answer.body.find(id_of(request)) != std::string::npos;
         if (good) {
-          EXPECT_TRUE(own) << one.fault;
+          EXPECT_TRUE(echoes_id) << one.fault;
           const bool ended = answer.body.ends_with("data: [DONE]\n\n");
-          EXPECT_TRUE(!stream || ended || !one.may_answer == false)
+          EXPECT_TRUE(!stream || ended || !one.can_succeed == false)
               << one.fault;
         }
         if (answer.ran == "no") {
@@ -164,38 +164,38 @@
       }
     }
     for (const char* region : {"isola", "stretto", "golfo"}) {
-      it.fault("guida-" + std::string(region) + "-1", "none");
-      it.fault("guida-" + std::string(region) + "-2", "none");
+      it.inject_fault("guida-" + std::string(region) + "-1", "none");
+      it.inject_fault("guida-" + std::string(region) + "-2", "none");
     }
     EXPECT_TRUE(eventually([&] {
       const caller_answer again =
-          bench::send_now(it.model_request("isola-1", "planner"));
+          bench::send_and_wait(it.model_request("isola-1", "planner"));
       return again.status == 200;
     })) << one.fault;
   }
 }
 
-TEST(request_faults_test, a_total_outage_adds_a_tenth_to_the_load) {
+TEST(request_faults_test, retries_in_a_total_outage_add_at_most_a_tenth) {
   cluster it;
   it.bring_up();
   // The endpoint logs each attempt before it cuts the answer.
   for (const char* region : {"isola", "stretto", "golfo"}) {
-    it.fault("guida-" + std::string(region) + "-1", "cut");
-    it.fault("guida-" + std::string(region) + "-2", "cut");
+    it.inject_fault("guida-" + std::string(region) + "-1", "cut");
+    it.inject_fault("guida-" + std::string(region) + "-2", "cut");
   }
   const std::size_t before = it.all_runs().size();
   constexpr std::size_t requests = 100;
   for (std::size_t i = 0; i < requests; ++i) {
-    bench::send_now(it.model_request("isola-1", "planner", true));
+    bench::send_and_wait(it.model_request("isola-1", "planner", true));
   }
   const std::size_t attempts = it.all_runs().size() - before;
   EXPECT_LE(attempts, requests * 11 / 10);
 }
 
-TEST(request_faults_test, an_endpoint_that_leaves_gets_no_new_work) {
+TEST(request_faults_test, a_leaving_endpoint_gets_no_new_requests) {
   cluster it;
   it.bring_up();
-  it.platform_says("guida-golfo-1", true);
+  it.set_platform_state("guida-golfo-1", true);
   const auto leaving = [&](const std::string& node) {
     const json now = it.status(node);
     for (const json& one : member_of(now, "endpoints")) {
@@ -209,30 +209,29 @@
       eventually([&] { return leaving("golfo-1") && leaving("golfo-2"); }));
   for (int i = 0; i < 20; ++i) {
     const caller_request request = it.model_request("golfo-1", "mainland");
-    EXPECT_EQ(bench::send_now(request).status, 200U);
+    EXPECT_EQ(bench::send_and_wait(request).status, 200U);
     for (const bench::run_record& run : it.runs_of(id_of(request))) {
       EXPECT_EQ(run.endpoint, "guida-golfo-2");
     }
   }
-  it.platform_says("guida-golfo-1", false);
+  it.set_platform_state("guida-golfo-1", false);
   EXPECT_TRUE(eventually([&] { return !leaving("golfo-1"); }));
 }
 
-TEST(request_faults_test,
-     a_killed_endpoint_is_passed_over_while_the_list_lags) {
+TEST(request_faults_test, a_killed_endpoint_that_is_still_listed_is_skipped) {
   cluster it;
   it.bring_up();
   it.kill_endpoint("guida-isola-1");
   int good = 0;
   for (int i = 0; i < 30; ++i) {
     const caller_answer answer =
-        bench::send_now(it.model_request("isola-1", "planner"));
+        bench::send_and_wait(it.model_request("isola-1", "planner"));
     good += answer.status == 200 ? 1 : 0;
   }
   EXPECT_EQ(good, 30);
 }
 
-TEST(request_faults_test, a_planned_stop_cuts_off_no_request) {
+TEST(request_faults_test, a_planned_stop_interrupts_no_request) {
   cluster_options options;
   options.speed = 1;
   cluster it(options);
@@ -246,30 +245,30 @@
       json body = *parse_json(request.body);
       body["max_tokens"] = 120;
       request.body = to_text(body);
-      answers[i] = bench::send_now(request);
+      answers[i] = bench::send_and_wait(request);
     });
   }
   ASSERT_TRUE(eventually([&] { return it.all_runs().size() >= 8; }));
   it.stop_node("isola-1");
   ASSERT_TRUE(eventually([&] { return it.state("isola-1") == "draining"; }));
   const caller_answer refused =
-      bench::send_now(it.model_request("isola-1", "planner"));
+      bench::send_and_wait(it.model_request("isola-1", "planner"));
   EXPECT_EQ(refused.kind, "draining");
   EXPECT_EQ(refused.ran, "no");
   EXPECT_TRUE(eventually([&] {
     const std::string listed =
-        bench::ask_directory(it.address("isola-2", 7000), "?region=isola");
+        bench::query_directory(it.address("isola-2", 7000), "?region=isola");
     return !listed.empty() && listed != it.address("isola-1", 7000);
   }));
   for (std::thread& one : callers) one.join();
   for (const caller_answer& answer : answers) {
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.complete);
     EXPECT_TRUE(answer.body.ends_with("data: [DONE]\n\n"));
   }
-  EXPECT_EQ(it.wait_node("isola-1"), 0);
+  EXPECT_EQ(it.wait_for_exit("isola-1"), 0);
 }
 
-TEST(request_faults_test, a_caller_who_leaves_frees_the_endpoint) {
+TEST(request_faults_test, a_disconnected_caller_frees_the_endpoint) {
   cluster_options options;
   options.speed = 0.2;
   cluster it(options);
@@ -279,8 +278,8 @@
   body["max_tokens"] = 1000;
   request.body = to_text(body);
   request.timeout = std::chrono::milliseconds(1500);
-  const caller_answer answer = bench::send_now(request);
-  EXPECT_FALSE(answer.whole);
+  const caller_answer answer = bench::send_and_wait(request);
+  EXPECT_FALSE(answer.complete);
   ASSERT_EQ(it.runs_of(id_of(request)).size(), 1U);
   EXPECT_TRUE(eventually([&] {
     for (const std::string& node : {"golfo-1", "golfo-2"}) {
@@ -293,7 +292,7 @@
   }));
 }
 
-TEST(request_faults_test, killed_gateways_do_not_mix_or_double_answers) {
+TEST(request_faults_test, killed_gateways_do_not_mix_answers_of_requests) {
   cluster it;
   it.bring_up();
   std::vector<std::thread> callers;
@@ -304,10 +303,11 @@
         const char* entries[] = {"isola-1", "isola-2", "stretto-1"};
         const caller_request request =
             it.model_request(entries[i % 3], "terminal", n % 2 == 0);
-        const caller_answer answer = bench::send_now(request);
-        const bool good = answer.status == 200 && answer.whole;
-        const bool own = answer.body.find(id_of(request)) != std::string::npos;
-        if (good && !own) ++wrong[i];
+        const caller_answer answer = bench::send_and_wait(request);
+        const bool good = answer.status == 200 && answer.complete;
+        const bool echoes_id =
+            answer.body.find(id_of(request)) != std::string::npos;
+        if (good && !echoes_id) ++wrong[i];
       }
     });
   }
--- a/tests/test/run-once-test.cc
+++ b/tests/test/run-once-test.cc
@@ -29,37 +29,40 @@
   return members.size() == 3 ? out : 0;
 }
 
-TEST(run_once_test, a_resend_through_any_entry_is_answered_by_the_first_run) {
+TEST(run_once_test, a_retry_through_any_entry_gets_the_first_answer) {
   cluster it;
   it.bring_up();
   const caller_answer first =
-      bench::send_now(it.booking("isola-1", "terminal", "k1"));
+      bench::send_and_wait(it.booking_request("isola-1", "terminal", "k1"));
   ASSERT_EQ(first.status, 200U) << first.body;
   EXPECT_EQ(first.region, "stretto");
   for (const std::string& node : it.nodes()) {
     const caller_answer again =
-        bench::send_now(it.booking(node, "terminal", "k1"));
+        bench::send_and_wait(it.booking_request(node, "terminal", "k1"));
     EXPECT_EQ(again.body, first.body) << node;
     EXPECT_EQ(again.replayed, "true") << node;
   }
   EXPECT_EQ(it.runs_of_key("k1").size(), 1U);
 }
 
-TEST(run_once_test, another_body_is_refused_and_another_caller_is_not) {
+TEST(run_once_test, a_key_is_bound_to_its_body_and_caller) {
   cluster it;
   it.bring_up();
-  ASSERT_EQ(bench::send_now(it.booking("isola-1", "terminal", "k1")).status,
-            200U);
-  const caller_answer other = bench::send_now(
-      it.booking("isola-2", "terminal", "k1", R"({"slot":"2"})"));
+  ASSERT_EQ(
+      bench::send_and_wait(it.booking_request("isola-1", "terminal", "k1"))
+          .status,
+      200U);
+  const caller_answer other = bench::send_and_wait(
+      it.booking_request("isola-2", "terminal", "k1", R"({"slot":"2"})"));
   EXPECT_EQ(other.kind, "mismatch");
   EXPECT_EQ(other.ran, "no");
-  EXPECT_EQ(bench::send_now(it.booking("isola-1", "planner", "k1")).status,
+  EXPECT_EQ(bench::send_and_wait(it.booking_request("isola-1", "planner", "k1"))
+                .status,
             200U);
   EXPECT_EQ(it.runs_of_key("k1").size(), 2U);
 }
 
-TEST(run_once_test, racing_resends_run_once) {
+TEST(run_once_test, concurrent_retries_run_once) {
   cluster it;
   it.bring_up();
   const std::vector<std::string> nodes = it.nodes();
@@ -68,7 +71,7 @@
     std::vector<std::thread> callers;
     for (const std::string& node : nodes) {
       callers.emplace_back([&it, node, key] {
-        bench::send_now(it.booking(node, "terminal", key));
+        bench::send_and_wait(it.booking_request(node, "terminal", key));
       });
     }
     for (std::thread& one : callers) one.join();
@@ -76,7 +79,7 @@
   }
 }
 
-TEST(run_once_test, a_gateway_that_dies_in_the_middle_leaves_one_run_at_most) {
+TEST(run_once_test, a_gateway_killed_during_a_run_causes_no_second_run) {
   cluster_options options;
   options.plain_ms = 4000;
   options.speed = 1;
@@ -86,14 +89,15 @@
   for (int round = 0; round < 3; ++round) {
     const std::string key = "death-" + std::to_string(round);
     std::thread caller([&] {
-      bench::caller_request request = it.booking("isola-2", "planner", key);
-      bench::send_now(request);
+      bench::caller_request request =
+          it.booking_request("isola-2", "planner", key);
+      bench::send_and_wait(request);
     });
     ASSERT_TRUE(eventually([&] { return !it.runs_of_key(key).empty(); }));
     it.kill_node("isola-2");
     caller.join();
     const caller_answer again =
-        bench::send_now(it.booking("isola-3", "planner", key));
+        bench::send_and_wait(it.booking_request("isola-3", "planner", key));
     EXPECT_TRUE(again.kind == "in-progress" || again.kind == "outcome-unknown")
         << again.status << " " << again.body;
     EXPECT_EQ(again.ran, "unknown");
@@ -103,110 +107,114 @@
   }
 }
 
-TEST(run_once_test, without_a_majority_the_request_is_not_run) {
+TEST(run_once_test, without_a_ledger_majority_nothing_runs) {
   cluster it;
   it.bring_up();
   it.freeze_node("isola-1");
   it.freeze_node("isola-2");
   const caller_answer answer =
-      bench::send_now(it.booking("isola-3", "planner", "alone"));
+      bench::send_and_wait(it.booking_request("isola-3", "planner", "alone"));
   EXPECT_EQ(answer.ran, "no") << answer.body;
   EXPECT_FALSE(answer.retry_after.empty());
   EXPECT_TRUE(it.runs_of_key("alone").empty());
   it.thaw_node("isola-1");
   it.thaw_node("isola-2");
   EXPECT_TRUE(eventually([&] {
-    return bench::send_now(it.booking("isola-3", "planner", "alone")).status ==
-           200;
+    return bench::send_and_wait(
+               it.booking_request("isola-3", "planner", "alone"))
+               .status == 200;
   }));
   EXPECT_EQ(it.runs_of_key("alone").size(), 1U);
 }
 
-TEST(run_once_test, ledger_voters_lost_one_after_the_other_forget_nothing) {
+TEST(run_once_test, successive_restarts_of_ledger_voters_lose_no_record) {
   cluster it;
   it.bring_up();
   const caller_answer first =
-      bench::send_now(it.booking("isola-1", "planner", "kept"));
+      bench::send_and_wait(it.booking_request("isola-1", "planner", "kept"));
   ASSERT_EQ(first.status, 200U);
   for (const char* name : {"isola-2", "isola-3"}) {
-    const std::uint64_t former = voting_incarnation(it, name);
-    ASSERT_NE(former, 0U);
+    const std::uint64_t previous_incarnation = voting_incarnation(it, name);
+    ASSERT_NE(previous_incarnation, 0U);
     it.kill_node(name);
     it.start_node(name);
     // Wait until it is a voter again with its new incarnation.
     ASSERT_TRUE(eventually([&] {
       const std::uint64_t now = voting_incarnation(it, name);
-      if (now == 0 || now == former) return false;
+      if (now == 0 || now == previous_incarnation) return false;
       return it.state(name) == "ready" && !ledger_leader(it, name).empty();
     })) << name;
   }
   const caller_answer again =
-      bench::send_now(it.booking("golfo-1", "planner", "kept"));
+      bench::send_and_wait(it.booking_request("golfo-1", "planner", "kept"));
   EXPECT_EQ(again.body, first.body);
   EXPECT_EQ(it.runs_of_key("kept").size(), 1U);
 }
 
-TEST(run_once_test, during_a_partition_a_resend_is_not_run_elsewhere) {
+TEST(run_once_test, a_retry_during_a_partition_runs_nowhere_else) {
   cluster it;
   it.bring_up();
-  ASSERT_EQ(bench::send_now(it.booking("stretto-1", "terminal", "p1")).status,
-            200U);
+  ASSERT_EQ(
+      bench::send_and_wait(it.booking_request("stretto-1", "terminal", "p1"))
+          .status,
+      200U);
   it.cut("stretto", "isola");
   it.cut("stretto", "golfo");
   const caller_answer away =
-      bench::send_now(it.booking("isola-1", "terminal", "p1"));
+      bench::send_and_wait(it.booking_request("isola-1", "terminal", "p1"));
   EXPECT_NE(away.status, 200U);
   const caller_answer inside =
-      bench::send_now(it.booking("stretto-2", "terminal", "p1"));
+      bench::send_and_wait(it.booking_request("stretto-2", "terminal", "p1"));
   EXPECT_EQ(inside.replayed, "true") << inside.body;
   const caller_answer fresh =
-      bench::send_now(it.booking("isola-2", "terminal", "p2"));
+      bench::send_and_wait(it.booking_request("isola-2", "terminal", "p2"));
   EXPECT_EQ(fresh.ran == "yes", false);
   it.heal();
   EXPECT_TRUE(eventually([&] {
-    return bench::send_now(it.booking("isola-1", "terminal", "p1")).replayed ==
-           "true";
+    return bench::send_and_wait(it.booking_request("isola-1", "terminal", "p1"))
+               .replayed == "true";
   }));
   EXPECT_EQ(it.runs_of_key("p1").size(), 1U);
   EXPECT_LE(it.runs_of_key("p2").size(), 1U);
 }
 
-TEST(run_once_test, a_moved_home_does_not_open_a_second_owner) {
+TEST(run_once_test, a_retry_after_a_home_change_does_not_run_again) {
   cluster it;
   it.bring_up();
   const caller_answer first =
-      bench::send_now(it.booking("isola-1", "planner", "moving"));
+      bench::send_and_wait(it.booking_request("isola-1", "planner", "moving"));
   ASSERT_EQ(first.region, "isola");
   const result<json> applied = it.apply("isola-1", R"({"placement_rules": [
       {"name": "anywhere", "callers": {"team": "planner"},
        "home": {"region": "golfo"}}]})");
   ASSERT_TRUE(applied);
   ASSERT_TRUE(eventually([&] {
-    return bench::send_now(it.model_request("golfo-1", "planner")).region ==
-               "golfo" &&
+    return bench::send_and_wait(it.model_request("golfo-1", "planner"))
+                   .region == "golfo" &&
            it.revision("isola-2") == it.revision("golfo-1");
   }));
   for (const char* node : {"isola-2", "golfo-1", "stretto-1"}) {
     const caller_answer again =
-        bench::send_now(it.booking(node, "planner", "moving"));
+        bench::send_and_wait(it.booking_request(node, "planner", "moving"));
     EXPECT_EQ(again.body, first.body) << node;
   }
   EXPECT_EQ(it.runs_of_key("moving").size(), 1U);
   const caller_answer fresh =
-      bench::send_now(it.booking("isola-1", "planner", "moved"));
+      bench::send_and_wait(it.booking_request("isola-1", "planner", "moved"));
   EXPECT_EQ(fresh.region, "golfo") << fresh.body;
   EXPECT_EQ(it.runs_of_key("moved").size(), 1U);
 }
 
-TEST(run_once_test, without_a_key_there_is_one_attempt) {
+TEST(run_once_test, a_request_without_a_key_is_sent_once) {
   cluster it;
   it.bring_up();
   for (const char* region : {"isola", "stretto", "golfo"}) {
-    it.fault("banco-" + std::string(region), "cut");
+    it.inject_fault("banco-" + std::string(region), "cut");
   }
-  bench::caller_request request = it.booking("isola-1", "planner", "none");
+  bench::caller_request request =
+      it.booking_request("isola-1", "planner", "none");
   request.headers = {{"X-Request-Id", "one-attempt"}};
-  const caller_answer answer = bench::send_now(request);
+  const caller_answer answer = bench::send_and_wait(request);
   EXPECT_EQ(answer.ran, "unknown") << answer.body;
   EXPECT_EQ(it.runs_of("one-attempt").size(), 1U);
 }
--- a/tests/test/suspension-test.cc
+++ b/tests/test/suspension-test.cc
@@ -27,14 +27,14 @@
 
 constexpr seconds suspension{5};
 
-TEST(suspension_test, the_monotonic_time_goes_on) {
+TEST(suspension_test, monotonic_time_includes_the_suspension) {
   const system_clock_source clock;
   const monotonic_time before = clock.now();
   suspend_machine(suspension);
   EXPECT_GE(clock.now() - before, suspension);
 }
 
-TEST(suspension_test, a_node_knows_that_its_lease_has_ended) {
+TEST(suspension_test, a_lease_expires_during_the_suspension) {
   const system_clock_source clock;
   const result<charts::chart> chart =
       charts::chart::load(std::string(TRESTLEPOST_CHARTS) + "/node.jsonc",
@@ -43,8 +43,8 @@
   membership::node_state_options options;
   options.config_lease = milliseconds(3000);
   membership::node_state state(*chart, options, clock.now());
-  const monotonic_time asked_at = clock.now();
-  state.confirm(asked_at, clock.now());
+  const monotonic_time request_time = clock.now();
+  state.confirm(request_time, clock.now());
   state.tick(clock.now(), true);
   ASSERT_TRUE(state.may_cross_regions(clock.now()));
   suspend_machine(suspension);
@@ -98,7 +98,7 @@
   transport::http_client client_{io_, {}};
 };
 
-TEST_F(suspended_loop_test, a_timer_fires_with_the_next_event) {
+TEST_F(suspended_loop_test, a_timer_fires_after_the_suspension) {
   transport::timer timer(io_);
   timer.expires_after(seconds(4));
   bool fired = false;
@@ -109,7 +109,7 @@
   EXPECT_TRUE(tick_until([&fired] { return fired; }));
 }
 
-TEST_F(suspended_loop_test, a_call_ends_by_its_deadline) {
+TEST_F(suspended_loop_test, a_call_reaches_its_deadline_during_the_suspension) {
   const loopback_range range;
   constexpr int region = 40;
   const std::string address = range.ip(region, 1, 1) + ":7810";
