--- a/own/include/trestlepost/own/call_target.h
+++ b/own/include/trestlepost/own/call_target.h
@@ -1,4 +1,5 @@
-// Which service a call is for.
+// Determines the service that a call is addressed to, from its request target
+// or from the body of a model call.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +11,22 @@
 
 namespace trestlepost::own {
 
-/// A call's service, and the path of the request there.
+/// The service of a call, and the path to request at its endpoint.
 struct call_target {
-  std::string service;  // empty: the body names it
-  std::string path;     // at the endpoint
+  std::string service;  // empty for a model call, whose body names it
+  std::string path;     // includes the query of a service call
 };
 
-/// Nothing when the target is no call of a service.
+/// Returns no value if the target addresses no service.
 std::optional<call_target> read_target(std::string_view method,
                                        std::string_view target);
 
-/// What the body of a model call says.
+/// The routing information in the body of a model call.
 struct model_call {
   std::string model;
-  std::uint64_t affinity = 0;  // hash of the prompt's prefix; 0: none
+  std::uint64_t affinity = 0;  // hash of the prompt's prefix; 0 for none
 };
-/// An error when the body names no model.
+/// Fails if the body isn't JSON or names no model.
 result<model_call> read_model_call(const std::string& body);
 
 }  // namespace trestlepost::own
--- a/own/include/trestlepost/own/codecs.h
+++ b/own/include/trestlepost/own/codecs.h
@@ -1,4 +1,5 @@
-// The product's own way to speak to callers, endpoints and the platform.
+// Codecs for Trestlepost's own protocol with callers, endpoints and the
+// platform.
 #pragma once
 
 #include <chrono>
@@ -15,20 +16,22 @@
 
 namespace trestlepost::own {
 
-/// Calls of the product's own interface, and refusals as problem documents.
+/// Parses calls of Trestlepost's own interface and encodes refusals as problem
+/// documents (application/problem+json).
 class caller_codec final : public surface::caller_surface {
  public:
-  /// The id is empty where the caller sent none that is sound: the gateway
-  /// draws one. The host is left out, since nothing is matched against it.
+  /// The request id is empty if the caller sent no valid one; the gateway then
+  /// generates one. The host is left empty because no rule matches on it.
   result<surface::call_head> read_head(
       const transport::http_exchange& exchange) const override;
   transport::http_answer refuse(const surface::refusal& why) const override;
 };
 
-/// Requests to endpoints, and the heads of their answers.
+/// Encodes requests to endpoints and parses the heads of their answers.
 class endpoint_codec final : public surface::endpoint_codec {
  public:
-  /// `refusal_means_not_run`: what the service says of its 503.
+  /// `refusal_means_not_run`: whether the service guarantees that it did not
+  /// run a request which it answers with 503.
   explicit endpoint_codec(bool refusal_means_not_run)
       : refusal_means_not_run_(refusal_means_not_run) {}
 
@@ -43,7 +46,8 @@
   bool refusal_means_not_run_;
 };
 
-/// The platform's list. It names VMs, each by its IP, on one page.
+/// Requests and parses the platform's list, which has all VMs on one page and
+/// identifies each by its IP address.
 class directory_codec final : public surface::endpoint_directory {
  public:
   transport::http_request page_request(const std::string& zone,
@@ -52,26 +56,27 @@
       const std::string& body) const override;
 };
 
-/// The calls that find entries and ask how a node is.
+/// Parses look-ups of entries and queries for a node's readiness or health, and
+/// encodes the answers.
 class entry_codec final : public surface::entry_surface {
  public:
   std::optional<membership::entry_query> read_query(
       std::string_view method, std::string_view target) const override;
-  /// The labels of the requests that the caller wants an entry for.
+  /// Returns the labels of the requests for which the caller looks up an entry.
   result<config::label_map> read_labels(std::string_view target) const;
   transport::http_answer show_entries(
       const std::vector<membership::entry_view>& entries,
       std::chrono::milliseconds lifetime) const override;
   bool is_readiness_query(std::string_view method,
                           std::string_view target) const override;
-  /// Whether the call asks only if the process answers.
+  /// Returns whether this is a liveness check, which any running node answers.
   bool asks_health(std::string_view target) const;
   transport::http_answer show_readiness(
       const surface::node_report& node) const override;
   transport::http_answer refuse(const error& why) const override;
 };
 
-/// The HTTP status of a refusal.
+/// Returns the HTTP status of a refusal.
 unsigned status_of(error_kind kind);
 
 }  // namespace trestlepost::own
--- a/own/include/trestlepost/own/request_options.h
+++ b/own/include/trestlepost/own/request_options.h
@@ -1,4 +1,5 @@
-// What callers ask for beside the head that every surface reads.
+// Parses the headers by which callers set options of a request, such as labels
+// and priority, and validates request ids and bearer tokens.
 #pragma once
 
 #include <optional>
@@ -11,24 +12,26 @@
 
 namespace trestlepost::own {
 
-/// What the product's own headers say.
+/// Options from the Trestlepost headers and Idempotency-Key.
 struct request_options {
   config::label_map labels;
   std::optional<bool> repeatable;
   std::string idempotency_key;
-  int priority = 0;  // 0 to 9; the highest goes first
+  int priority = 0;  // 0 to 9; higher priorities go first
 };
 
-/// Reads the Trestlepost headers and Idempotency-Key.
+/// Fails with the name of the first header whose value is invalid.
 result<request_options> read_options(const transport::http_exchange& exchange);
 
-/// "key=value,key=value".
+/// Parses "key=value,key=value". Fails on a repeated key, an empty key or an
+/// empty value.
 result<config::label_map> parse_labels(std::string_view text);
 
-/// The caller's X-Request-Id when it is sound, or an empty string.
+/// Returns the caller's X-Request-Id if it is valid, or else an empty string.
 std::string sound_request_id(std::string_view text);
 
-/// The token of "Authorization: Bearer TOKEN", or an empty string.
+/// Returns the token of an Authorization header "Bearer TOKEN", or an empty
+/// string.
 std::string_view bearer_token(std::string_view header);
 
 }  // namespace trestlepost::own
--- a/own/src/call_target.cc
+++ b/own/src/call_target.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view services_prefix = "/v1/services/";
-// Prompts that begin with as many equal bytes share an affinity.
+// In bytes. Prompts with the same prefix of this length share an affinity.
 constexpr std::size_t prefix_size = 512;
 
 bool is_model_call(std::string_view path) {
@@ -43,7 +43,7 @@
   const std::string prompt =
       messages.isArray() ? to_text(messages) : text_of(*parsed, "prompt");
   const std::string prefix = prompt.substr(0, prefix_size);
-  // 0 stands for "no affinity".
+  // The lowest bit is set because 0 means that there is no affinity.
   if (!prefix.empty()) out.affinity = hash64(prefix) | 1;
   return out;
 }
--- a/own/src/caller_codec.cc
+++ b/own/src/caller_codec.cc
@@ -1,5 +1,5 @@
-// What callers send, and what they are told when they get no answer of an
-// endpoint.
+// Parses the heads of callers' requests and encodes refusals, which the gateway
+// sends when it has no answer from an endpoint to relay.
 #include "headers.h"
 #include "trestlepost/own/codecs.h"
 #include "trestlepost/own/request_options.h"
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t longest_deadline_ms = 3'600'000;
 
-// What goes to the endpoint as it came.
+// Headers that are forwarded to the endpoint unchanged.
 constexpr const char* passed_on[] = {headers::content_type,
                                      headers::idempotency_key};
 
@@ -79,7 +79,7 @@
 }
 
 transport::http_answer caller_codec::refuse(const surface::refusal& why) const {
-  // Callers know whole seconds only.
+  // Retry-After has whole seconds, so it is rounded up.
   transport::http_answer out = transport::problem_answer(
       status_of(why.cause.kind), why.cause, to_string(why.ran),
       std::chrono::ceil<std::chrono::seconds>(why.retry_after));
--- a/own/src/directory_codec.cc
+++ b/own/src/directory_codec.cc
@@ -1,4 +1,4 @@
-// The platform's list of VMs.
+// Requests and parses the platform's list of VMs.
 #include "trestlepost/own/codecs.h"
 
 namespace trestlepost::own {
@@ -22,7 +22,7 @@
   if (!parsed) return tl::make_unexpected(parsed.error());
   const json& all = member_of(*parsed, "vms");
   if (!all.isArray()) {
-    return fail(error_kind::bad_input, "the list holds no VMs",
+    return fail(error_kind::bad_input, "the list has no \"vms\" array",
                 "check platform.address in the settings");
   }
   surface::endpoint_page out;
--- a/own/src/endpoint_codec.cc
+++ b/own/src/endpoint_codec.cc
@@ -1,4 +1,4 @@
-// What endpoints are sent, and what the heads of their answers say.
+// Encodes requests to endpoints and parses the heads of their answers.
 #include "headers.h"
 #include "trestlepost/own/codecs.h"
 
--- a/own/src/entry_codec.cc
+++ b/own/src/entry_codec.cc
@@ -1,4 +1,5 @@
-// How callers find entries, and how a node's readiness is asked for.
+// Parses callers' look-ups of entries and queries for a node's readiness or
+// health, and encodes the answers.
 #include <cstdlib>
 
 #include "trestlepost/own/codecs.h"
@@ -18,7 +19,8 @@
   return target.substr(0, target.find('?'));
 }
 
-/// Undoes percent encoding, as far as labels need it.
+/// Decodes percent escapes. Digits that aren't hexadecimal are not reported as
+/// an error.
 std::string decode_query(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
--- a/own/src/headers.h
+++ b/own/src/headers.h
@@ -1,4 +1,5 @@
-// Header names and limits that callers are told of (docs/INTERFACES.md).
+// Header names of the protocol with callers and endpoints, as documented in
+// docs/INTERFACES.md, and parsing helpers for their values.
 #pragma once
 
 #include <charconv>
@@ -23,7 +24,7 @@
 inline constexpr char attempt[] = "Trestlepost-Attempt";
 }  // namespace headers
 
-/// A whole number from `least` to `most`, or nothing.
+/// Parses a decimal integer from `least` to `most`.
 inline std::optional<std::int64_t> read_number(std::string_view text,
                                                std::int64_t least,
                                                std::int64_t most) {
@@ -35,11 +36,12 @@
   return n;
 }
 
-/// The refusal of a header; `remedy` says how to write it.
+/// Returns the error for a header with an invalid value; `remedy` describes the
+/// valid ones.
 inline tl::unexpected<error> bad_header(std::string_view name,
                                         std::string_view remedy) {
   return fail(error_kind::bad_input,
-              "the header " + std::string(name) + " is not understood",
+              "the header " + std::string(name) + " has an invalid value",
               std::string(remedy));
 }
 
--- a/own/src/request_options.cc
+++ b/own/src/request_options.cc
@@ -8,7 +8,7 @@
 namespace trestlepost::own {
 namespace {
 
-// Limits of docs/INTERFACES.md, in characters.
+// Limits documented in docs/INTERFACES.md; lengths are in bytes.
 constexpr std::size_t longest_id = 128;
 constexpr std::size_t longest_key = 256;
 constexpr int most_priority = 9;
@@ -63,7 +63,7 @@
         read_number(priority, 0, most_priority);
     if (!n) {
       return bad_header(headers::priority,
-                        "write 0 to 9; the highest goes first");
+                        "write 0 to 9; higher priorities go first");
     }
     out.priority = static_cast<int>(*n);
   }
--- a/own/test/call_target-test.cc
+++ b/own/test/call_target-test.cc
@@ -1,4 +1,4 @@
-// Which service a call is for, by its target or its body.
+// Tests that the service of a call is found in its target or its body.
 #include "trestlepost/own/call_target.h"
 
 #include <gtest/gtest.h>
--- a/own/test/caller_codec-test.cc
+++ b/own/test/caller_codec-test.cc
@@ -1,4 +1,4 @@
-// What callers send, and how they are refused.
+// Tests parsing of callers' requests and encoding of refusals.
 #include <gtest/gtest.h>
 
 #include <vector>
--- a/own/test/directory_codec-test.cc
+++ b/own/test/directory_codec-test.cc
@@ -1,4 +1,4 @@
-// The platform's list of VMs.
+// Tests parsing of the platform's list of VMs, including malformed lists.
 #include <gtest/gtest.h>
 
 #include <vector>
--- a/own/test/endpoint_codec-test.cc
+++ b/own/test/endpoint_codec-test.cc
@@ -1,4 +1,4 @@
-// What endpoints are sent, and what their answers say.
+// Tests encoding of requests to endpoints and parsing of their answers.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -57,7 +57,7 @@
       {"no status", 0, none, true, false, ""},
       {"an echo", 200, {{"trestlepost-attempt", "a-1"}}, false, false, "a-1"},
       {"an empty echo", 200, {{"Trestlepost-Attempt", ""}}, false, false, ""},
-      {"a refusal of another request",
+      {"a refusal of another attempt",
        503,
        {{"Trestlepost-Attempt", "a-2"}},
        true,
--- a/own/test/entry_codec-test.cc
+++ b/own/test/entry_codec-test.cc
@@ -1,4 +1,4 @@
-// The entry directory, and what a node says of itself.
+// Tests look-ups of entries and answers to readiness and health checks.
 #include <gtest/gtest.h>
 
 #include <vector>
--- a/own/test/request_options-test.cc
+++ b/own/test/request_options-test.cc
@@ -1,4 +1,4 @@
-// What callers ask for beside the head.
+// Tests parsing of labels, bearer tokens, request ids and option headers.
 #include "trestlepost/own/request_options.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 TEST(parse_labels_test, reads_pairs_and_refuses_the_rest) {
   EXPECT_EQ(parse_labels("a=1, b=2")->at("b"), "2");
   EXPECT_TRUE(parse_labels("")->empty());
-  EXPECT_EQ(parse_labels("a=1,")->size(), 1U);  // as it always was
+  EXPECT_EQ(parse_labels("a=1,")->size(), 1U);  // A trailing comma is accepted.
   for (const char* it : {"a", "=1", "a=", "a=1,,b=2", "a=1,a=2", ","}) {
     EXPECT_FALSE(parse_labels(it)) << it;
   }
