--- a/gateway/src/entry_handler.cc
+++ b/gateway/src/entry_handler.cc
@@ -52,7 +52,7 @@
   if (entries_.is_readiness_query(method, target)) {
     return entries_.show_readiness(report(context_.state.serves_callers()));
   }
-  if (entries_.asks_health(target)) {
+  if (entries_.is_health_query(target)) {
     return entries_.show_readiness(report(true));
   }
   return entries_.refuse(
@@ -219,7 +219,7 @@
 awaitable<void> entry_handler::answer_call(http_exchange& exchange,
                                            own::call_target target) {
   const monotonic_time started = context_.clock.now();
-  std::string id = own::sound_request_id(exchange.header("X-Request-Id"));
+  std::string id = own::valid_request_id(exchange.header("X-Request-Id"));
   if (id.empty()) id = make_request_id(context_.random);
   tl::expected<incoming_request, attempt> request =
       co_await read_request(exchange, std::move(target), id);
--- a/own/include/trestlepost/own/codecs.h
+++ b/own/include/trestlepost/own/codecs.h
@@ -70,7 +70,7 @@
   bool is_readiness_query(std::string_view method,
                           std::string_view target) const override;
   /// Returns whether this is a liveness check, which any running node answers.
-  bool asks_health(std::string_view target) const;
+  bool is_health_query(std::string_view target) const;
   transport::http_answer show_readiness(
       const surface::node_report& node) const override;
   transport::http_answer refuse(const error& why) const override;
--- a/own/src/call_target.cc
+++ b/own/src/call_target.cc
@@ -8,7 +8,7 @@
 
 constexpr std::string_view services_prefix = "/v1/services/";
 // In bytes. Prompts with the same prefix of this length share an affinity.
-constexpr std::size_t prefix_size = 512;
+constexpr std::size_t affinity_prefix_bytes = 512;
 
 bool is_model_call(std::string_view path) {
   return path == "/v1/chat/completions" || path == "/v1/completions";
@@ -42,7 +42,7 @@
   const json& messages = member_of(*parsed, "messages");
   const std::string prompt =
       messages.isArray() ? to_text(messages) : text_of(*parsed, "prompt");
-  const std::string prefix = prompt.substr(0, prefix_size);
+  const std::string prefix = prompt.substr(0, affinity_prefix_bytes);
   // The lowest bit is set because 0 means that there is no affinity.
   if (!prefix.empty()) out.affinity = hash64(prefix) | 1;
   return out;
--- a/own/src/caller_codec.cc
+++ b/own/src/caller_codec.cc
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::int64_t longest_deadline_ms = 3'600'000;
+constexpr std::int64_t max_deadline_ms = 3'600'000;
 
 // Headers that are forwarded to the endpoint unchanged.
-constexpr const char* passed_on[] = {headers::content_type,
-                                     headers::idempotency_key};
+constexpr const char* passthrough_header_names[] = {headers::content_type,
+                                                    headers::idempotency_key};
 
 }  // namespace
 
@@ -58,20 +58,20 @@
 result<surface::call_head> caller_codec::read_head(
     const transport::http_exchange& exchange) const {
   surface::call_head out;
-  out.request_id = sound_request_id(exchange.header(headers::request_id));
+  out.request_id = valid_request_id(exchange.header(headers::request_id));
   out.method = exchange.method();
   out.target = exchange.target();
   const std::string_view deadline = exchange.header(headers::deadline);
   if (!deadline.empty()) {
     const std::optional<std::int64_t> n =
-        read_number(deadline, 1, longest_deadline_ms);
+        read_number(deadline, 1, max_deadline_ms);
     if (!n) {
-      return bad_header(headers::deadline,
-                        "write milliseconds from 1 to 3600000");
+      return invalid_header(headers::deadline,
+                            "write milliseconds from 1 to 3600000");
     }
     out.caller_timeout = milliseconds(*n);
   }
-  for (const char* name : passed_on) {
+  for (const char* name : passthrough_header_names) {
     const std::string_view text = exchange.header(name);
     if (!text.empty()) out.passthrough_headers.emplace_back(name, text);
   }
--- a/own/src/entry_codec.cc
+++ b/own/src/entry_codec.cc
@@ -80,7 +80,7 @@
   return path_of(target) == readiness_path;
 }
 
-bool entry_codec::asks_health(std::string_view target) const {
+bool entry_codec::is_health_query(std::string_view target) const {
   return path_of(target) == health_path;
 }
 
--- a/own/src/headers.h
+++ b/own/src/headers.h
@@ -24,22 +24,22 @@
 inline constexpr char attempt[] = "Trestlepost-Attempt";
 }  // namespace headers
 
-/// Parses a decimal integer from `least` to `most`.
+/// Parses a decimal integer from `min` to `max`.
 inline std::optional<std::int64_t> read_number(std::string_view text,
-                                               std::int64_t least,
-                                               std::int64_t most) {
+                                               std::int64_t min,
+                                               std::int64_t max) {
   std::int64_t n = 0;
   const char* end = text.data() + text.size();
   const std::from_chars_result read = std::from_chars(text.data(), end, n);
-  const bool whole = read.ec == std::errc() && read.ptr == end;
-  if (!whole || n < least || n > most) return std::nullopt;
+  const bool complete = read.ec == std::errc() && read.ptr == end;
+  if (!complete || n < min || n > max) return std::nullopt;
   return n;
 }
 
 /// Returns the error for a header with an invalid value; `remedy` describes the
 /// valid ones.
-inline tl::unexpected<error> bad_header(std::string_view name,
-                                        std::string_view remedy) {
+inline tl::unexpected<error> invalid_header(std::string_view name,
+                                            std::string_view remedy) {
   return fail(error_kind::bad_input,
               "the header " + std::string(name) + " has an invalid value",
               std::string(remedy));
--- a/own/src/request_options.cc
+++ b/own/src/request_options.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // Limits documented in docs/INTERFACES.md; lengths are in bytes.
-constexpr std::size_t longest_id = 128;
-constexpr std::size_t longest_key = 256;
-constexpr int most_priority = 9;
+constexpr std::size_t max_request_id_bytes = 128;
+constexpr std::size_t max_idempotency_key_bytes = 256;
+constexpr int max_priority = 9;
 
 std::string_view trim(std::string_view text) {
   while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
@@ -31,11 +31,11 @@
     const bool ok = equals != std::string_view::npos && equals > 0 &&
                     equals + 1 < one.size();
     if (!ok) {
-      return bad_header(headers::labels, "write key=value,key=value");
+      return invalid_header(headers::labels, "write key=value,key=value");
     }
     const std::string key(trim(one.substr(0, equals)));
     if (!out.emplace(key, trim(one.substr(equals + 1))).second) {
-      return bad_header(headers::labels, "name each label once");
+      return invalid_header(headers::labels, "name each label once");
     }
   }
   return out;
@@ -51,32 +51,33 @@
   if (repeatable == "true" || repeatable == "false") {
     out.repeatable = repeatable == "true";
   } else if (!repeatable.empty()) {
-    return bad_header(headers::repeatable, "write true or false");
+    return invalid_header(headers::repeatable, "write true or false");
   }
   out.idempotency_key = std::string(exchange.header(headers::idempotency_key));
-  if (out.idempotency_key.size() > longest_key) {
-    return bad_header(headers::idempotency_key, "use 256 characters at most");
+  if (out.idempotency_key.size() > max_idempotency_key_bytes) {
+    return invalid_header(headers::idempotency_key,
+                          "use 256 characters at most");
   }
   const std::string_view priority = exchange.header(headers::priority);
   if (!priority.empty()) {
     const std::optional<std::int64_t> n =
-        read_number(priority, 0, most_priority);
+        read_number(priority, 0, max_priority);
     if (!n) {
-      return bad_header(headers::priority,
-                        "write 0 to 9; higher priorities go first");
+      return invalid_header(headers::priority,
+                            "write 0 to 9; higher priorities go first");
     }
     out.priority = static_cast<int>(*n);
   }
   return out;
 }
 
-std::string sound_request_id(std::string_view text) {
-  if (text.empty() || text.size() > longest_id) return {};
-  const bool sound = std::all_of(text.begin(), text.end(), [](char c) {
+std::string valid_request_id(std::string_view text) {
+  if (text.empty() || text.size() > max_request_id_bytes) return {};
+  const bool valid = std::all_of(text.begin(), text.end(), [](char c) {
     return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' ||
            c == '_' || c == '.';
   });
-  return sound ? std::string(text) : std::string();
+  return valid ? std::string(text) : std::string();
 }
 
 std::string_view bearer_token(std::string_view header) {
--- a/own/test/entry_codec-test.cc
+++ b/own/test/entry_codec-test.cc
@@ -84,13 +84,13 @@
   const entry_codec codec;
   EXPECT_TRUE(codec.is_readiness_query("GET", "/readyz"));
   EXPECT_TRUE(codec.is_readiness_query("GET", "/readyz?x"));
-  EXPECT_TRUE(codec.asks_health("/healthz"));
+  EXPECT_TRUE(codec.is_health_query("/healthz"));
   for (const char* it :
        {"", "/", "/ready", "/readyz/", "/health", "/x/readyz", "/healthzz"}) {
     EXPECT_FALSE(codec.is_readiness_query("GET", it)) << it;
-    EXPECT_FALSE(codec.asks_health(it)) << it;
+    EXPECT_FALSE(codec.is_health_query(it)) << it;
   }
-  EXPECT_FALSE(codec.asks_health("/readyz"));
+  EXPECT_FALSE(codec.is_health_query("/readyz"));
   EXPECT_FALSE(codec.is_readiness_query("GET", "/healthz"));
 }
 
--- a/own/test/request_options-test.cc
+++ b/own/test/request_options-test.cc
@@ -30,9 +30,9 @@
 }
 
 TEST(sound_request_id_test, drops_what_could_harm_a_log) {
-  EXPECT_EQ(sound_request_id("a-1_b.c"), "a-1_b.c");
-  EXPECT_EQ(sound_request_id("a\nb"), "");
-  EXPECT_EQ(sound_request_id(std::string(200, 'a')), "");
+  EXPECT_EQ(valid_request_id("a-1_b.c"), "a-1_b.c");
+  EXPECT_EQ(valid_request_id("a\nb"), "");
+  EXPECT_EQ(valid_request_id(std::string(200, 'a')), "");
 }
 
 TEST(read_options_test, reads_all_of_them) {
