--- a/own/test/call_target-test.cc
+++ b/own/test/call_target-test.cc
@@ -11,12 +11,12 @@
 struct target_example {
   const char* method;
   const char* target;
-  bool known;
+  bool is_call;
   const char* service;
   const char* path;
 };
 
-TEST(read_target_test, tells_model_calls_services_and_the_rest) {
+TEST(read_target_test, parses_model_calls_and_service_calls) {
   const std::vector<target_example> table{
       {"POST", "/v1/chat/completions", true, "", "/v1/chat/completions"},
       {"POST", "/v1/completions?x=1", true, "", "/v1/completions"},
@@ -37,14 +37,14 @@
   };
   for (const target_example& it : table) {
     const std::optional<call_target> read = read_target(it.method, it.target);
-    ASSERT_EQ(read.has_value(), it.known) << it.target;
+    ASSERT_EQ(read.has_value(), it.is_call) << it.target;
     if (!read) continue;
     EXPECT_EQ(read->service, it.service) << it.target;
     EXPECT_EQ(read->path, it.path) << it.target;
   }
 }
 
-TEST(read_model_call_test, finds_model_and_prefix) {
+TEST(read_model_call_test, reads_model_and_affinity) {
   const std::string first = R"({"model":"m","messages":[{"content":")" +
                             std::string(600, 'x') + R"(1"}]})";
   const std::string second = R"({"model":"m","messages":[{"content":")" +
@@ -56,7 +56,7 @@
   EXPECT_FALSE(read_model_call("no json"));
 }
 
-TEST(read_model_call_test, what_names_no_model_is_refused) {
+TEST(read_model_call_test, rejects_bodies_without_model) {
   const std::vector<std::string> table{
       "",
       "{",
@@ -81,7 +81,7 @@
   }
 }
 
-TEST(read_model_call_test, a_prompt_of_another_type_gives_no_affinity) {
+TEST(read_model_call_test, invalid_prompt_gives_no_affinity) {
   for (const char* it :
        {R"({"model":"m"})", R"({"model":"m","prompt":7})",
         R"({"model":"m","messages":"x"})", R"({"model":"m","prompt":""})"}) {
--- a/own/test/caller_codec-test.cc
+++ b/own/test/caller_codec-test.cc
@@ -28,7 +28,7 @@
   return out;
 }
 
-TEST(caller_codec_test, a_head_is_read_whole) {
+TEST(caller_codec_test, parses_request_head) {
   const result<surface::call_head> head =
       caller_codec().read_head(make_exchange());
   ASSERT_TRUE(head);
@@ -40,7 +40,7 @@
   EXPECT_FALSE(head->prompt.known());
 }
 
-TEST(caller_codec_test, only_two_headers_go_on) {
+TEST(caller_codec_test, forwards_only_two_headers) {
   const result<surface::call_head> head =
       caller_codec().read_head(make_exchange());
   ASSERT_TRUE(head);
@@ -49,7 +49,7 @@
   EXPECT_EQ(head->passthrough_headers, expected);
 }
 
-TEST(caller_codec_test, a_bare_request_has_a_head) {
+TEST(caller_codec_test, accepts_request_without_headers) {
   const result<surface::call_head> head =
       caller_codec().read_head(fake_exchange());
   ASSERT_TRUE(head);
@@ -58,7 +58,7 @@
   EXPECT_TRUE(head->passthrough_headers.empty());
 }
 
-TEST(caller_codec_test, an_unsound_id_counts_as_none) {
+TEST(caller_codec_test, ignores_invalid_request_id) {
   const std::vector<std::string> table{"",
                                        " ",
                                        "a b",
@@ -70,23 +70,23 @@
                                        std::string("a\0b", 3),
                                        std::string(129, 'a')};
   for (const std::string& it : table) {
-    fake_exchange odd;
-    odd.all = {{"X-Request-Id", it}};
-    const result<surface::call_head> head = caller_codec().read_head(odd);
+    fake_exchange malformed;
+    malformed.all = {{"X-Request-Id", it}};
+    const result<surface::call_head> head = caller_codec().read_head(malformed);
     ASSERT_TRUE(head) << it;
     EXPECT_EQ(head->request_id, "") << it;
   }
-  fake_exchange longest;
-  longest.all = {{"X-Request-Id", std::string(128, 'a')}};
-  EXPECT_EQ(caller_codec().read_head(longest)->request_id.size(), 128U);
+  fake_exchange exchange;
+  exchange.all = {{"X-Request-Id", std::string(128, 'a')}};
+  EXPECT_EQ(caller_codec().read_head(exchange)->request_id.size(), 128U);
 }
 
-TEST(caller_codec_test, an_unsound_deadline_is_refused) {
+TEST(caller_codec_test, rejects_invalid_deadline) {
   for (const char* it : {"0", "-1", "+5", "x", "5x", " 5", "5 ", "1.5", "1e3",
                          "0x10", "3600001", "99999999999999999999"}) {
-    fake_exchange odd;
-    odd.all = {{"Trestlepost-Deadline-Ms", it}};
-    const result<surface::call_head> head = caller_codec().read_head(odd);
+    fake_exchange malformed;
+    malformed.all = {{"Trestlepost-Deadline-Ms", it}};
+    const result<surface::call_head> head = caller_codec().read_head(malformed);
     ASSERT_FALSE(head) << it;
     EXPECT_EQ(head.error().kind, error_kind::bad_input) << it;
     EXPECT_FALSE(head.error().remedy.empty()) << it;
@@ -102,7 +102,7 @@
   const char* seconds;
 };
 
-TEST(caller_codec_test, refusals_are_problems_with_kind_state_and_remedy) {
+TEST(caller_codec_test, refusals_are_problem_documents) {
   const std::vector<refusal_example> table{
       {error_kind::bad_input, run_state::no, {}, 400, "no", ""},
       {error_kind::unauthorized, run_state::no, {}, 401, "no", ""},
@@ -149,7 +149,7 @@
   }
 }
 
-TEST(caller_codec_test, a_refusal_without_id_names_none) {
+TEST(caller_codec_test, refusal_without_id_has_no_id_header) {
   const surface::refusal why{{error_kind::draining, "m", "r"}};
   const transport::http_answer answer = caller_codec().refuse(why);
   for (const auto& [name, text] : answer.headers) {
--- a/own/test/directory_codec-test.cc
+++ b/own/test/directory_codec-test.cc
@@ -8,7 +8,7 @@
 namespace trestlepost::own {
 namespace {
 
-TEST(directory_codec_test, there_is_one_page) {
+TEST(directory_codec_test, requests_a_single_page) {
   for (const char* it : {"", "p-2"}) {
     const transport::http_request request =
         directory_codec().page_request("", it);
@@ -17,7 +17,7 @@
   }
 }
 
-TEST(directory_codec_test, a_page_is_read_whole) {
+TEST(directory_codec_test, parses_page) {
   const result<surface::endpoint_page> page = directory_codec().read_page(
       R"({"vms":[{"address":"10.0.0.9","state":"live"},
                  {"address":"10.0.0.8","state":"leaving","new":1},
@@ -33,7 +33,7 @@
   EXPECT_TRUE(directory_codec().read_page(R"({"vms":[]})"));
 }
 
-TEST(directory_codec_test, what_is_no_page_is_an_error) {
+TEST(directory_codec_test, rejects_malformed_pages) {
   const std::vector<std::string> table{
       "",
       "{",
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(directory_codec_test, an_entry_without_address_is_left_out) {
+TEST(directory_codec_test, skips_entries_without_address) {
   for (const char* it : {"7", "null", "\"10.0.0.9\"", "[]", "{}",
                          R"({"state":"leaving"})", R"({"address":7})",
                          R"({"address":""})", R"({"address":["10.0.0.9"]})"}) {
@@ -68,7 +68,7 @@
   }
 }
 
-TEST(directory_codec_test, a_state_of_another_type_is_not_leaving) {
+TEST(directory_codec_test, invalid_state_is_not_leaving) {
   for (const char* it : {"7", "null", "true", "\"LEAVING\"", "[\"leaving\"]"}) {
     const result<surface::endpoint_page> page = directory_codec().read_page(
         std::string(R"({"vms":[{"address":"10.0.0.9","state":)") + it + "}]}");
--- a/own/test/endpoint_codec-test.cc
+++ b/own/test/endpoint_codec-test.cc
@@ -11,7 +11,7 @@
 
 using surface::test::fake_call;
 
-TEST(endpoint_codec_test, an_attempt_names_request_attempt_and_priority) {
+TEST(endpoint_codec_test, attempt_has_request_id_attempt_id_and_priority) {
   surface::call_head head;
   head.request_id = "r-1";
   head.method = "PUT";
@@ -45,7 +45,7 @@
   std::string attempt_id;
 };
 
-TEST(endpoint_codec_test, only_a_service_that_says_so_refuses_by_503) {
+TEST(endpoint_codec_test, status_503_means_not_run_only_if_configured) {
   const transport::header_list none;
   const std::string oversized(16'000, 'a');
   const std::vector<answer_example> table{
@@ -84,7 +84,7 @@
   }
 }
 
-TEST(endpoint_codec_test, only_the_type_of_an_answer_goes_back) {
+TEST(endpoint_codec_test, relays_only_content_type) {
   fake_call call;
   call.all = {{"X-Other", "1"},
               {"Content-Type", "text/event-stream"},
--- a/own/test/entry_codec-test.cc
+++ b/own/test/entry_codec-test.cc
@@ -12,12 +12,12 @@
 
 struct query_example {
   const char* target;
-  bool asked;
+  bool is_query;
   const char* region;
   const char* zone;
 };
 
-TEST(entry_codec_test, queries_are_read_where_there_are_any) {
+TEST(entry_codec_test, parses_entry_queries) {
   const std::vector<query_example> table{
       {"/v1/entries", true, "", ""},
       {"/v1/entries?", true, "", ""},
@@ -32,7 +32,7 @@
   for (const query_example& it : table) {
     const std::optional<membership::entry_query> read =
         entry_codec().read_query("GET", it.target);
-    ASSERT_EQ(read.has_value(), it.asked) << it.target;
+    ASSERT_EQ(read.has_value(), it.is_query) << it.target;
     if (!read) continue;
     EXPECT_EQ(read->near_region, it.region) << it.target;
     EXPECT_EQ(read->near_zone, it.zone) << it.target;
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(entry_codec_test, labels_are_decoded) {
+TEST(entry_codec_test, decodes_labels) {
   const result<config::label_map> labels =
       entry_codec().read_labels("/v1/entries?labels=a%3D1%2Cb=2");
   ASSERT_TRUE(labels);
@@ -49,7 +49,7 @@
   EXPECT_TRUE(entry_codec().read_labels("/v1/entries")->empty());
 }
 
-TEST(entry_codec_test, unsound_labels_are_refused) {
+TEST(entry_codec_test, rejects_invalid_labels) {
   for (const char* it :
        {"a", "a%3D", "%3D1", ",a=1", "a=1%2C%2Cb=2", "a=1,a=2", "a%3", "a%"}) {
     const result<config::label_map> labels =
@@ -59,7 +59,7 @@
   }
 }
 
-TEST(entry_codec_test, entries_are_told_with_their_lifetime) {
+TEST(entry_codec_test, encodes_entries_with_lifetime) {
   const transport::http_answer answer = entry_codec().show_entries(
       {{"n", "1.2.3.4:5", "r", "z", "ready"}, {"m", "1.2.3.4:6", "s", "y", ""}},
       milliseconds(1500));
@@ -80,7 +80,7 @@
   EXPECT_EQ(none.body, R"({"entries":[],"valid_for_ms":1})");
 }
 
-TEST(entry_codec_test, readiness_and_health_are_told_apart) {
+TEST(entry_codec_test, distinguishes_readiness_and_health) {
   const entry_codec codec;
   EXPECT_TRUE(codec.is_readiness_query("GET", "/readyz"));
   EXPECT_TRUE(codec.is_readiness_query("GET", "/readyz?x"));
@@ -94,7 +94,7 @@
   EXPECT_FALSE(codec.is_readiness_query("GET", "/healthz"));
 }
 
-TEST(entry_codec_test, a_node_tells_its_state) {
+TEST(entry_codec_test, encodes_readiness) {
   const transport::http_answer ready =
       entry_codec().show_readiness({true, "ready", 7});
   EXPECT_EQ(ready.status, 200U);
@@ -105,7 +105,7 @@
   EXPECT_EQ(starting.body, R"({"revision":0,"state":"starting"})");
 }
 
-TEST(entry_codec_test, refusals_are_problems) {
+TEST(entry_codec_test, refusals_are_problem_documents) {
   const transport::http_answer unknown =
       entry_codec().refuse({error_kind::not_found, "m", "r"});
   EXPECT_EQ(unknown.status, 404U);
--- a/own/test/request_options-test.cc
+++ b/own/test/request_options-test.cc
@@ -12,7 +12,7 @@
 
 using surface::test::fake_exchange;
 
-TEST(parse_labels_test, reads_pairs_and_refuses_the_rest) {
+TEST(parse_labels_test, parses_pairs_and_rejects_the_rest) {
   EXPECT_EQ(parse_labels("a=1, b=2")->at("b"), "2");
   EXPECT_TRUE(parse_labels("")->empty());
   EXPECT_EQ(parse_labels("a=1,")->size(), 1U);  // A trailing comma is accepted.
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(bearer_token_test, takes_only_its_scheme) {
+TEST(bearer_token_test, accepts_only_the_bearer_scheme) {
   EXPECT_EQ(bearer_token("Bearer abc"), "abc");
   EXPECT_EQ(bearer_token("Basic abc"), "");
   EXPECT_EQ(bearer_token("Bearer"), "");
@@ -29,19 +29,19 @@
   EXPECT_EQ(bearer_token(""), "");
 }
 
-TEST(sound_request_id_test, drops_what_could_harm_a_log) {
+TEST(valid_request_id_test, rejects_unsafe_characters_and_long_ids) {
   EXPECT_EQ(valid_request_id("a-1_b.c"), "a-1_b.c");
   EXPECT_EQ(valid_request_id("a\nb"), "");
   EXPECT_EQ(valid_request_id(std::string(200, 'a')), "");
 }
 
-TEST(read_options_test, reads_all_of_them) {
-  fake_exchange asked;
-  asked.all = {{"Trestlepost-Labels", "a=1"},
-               {"Trestlepost-Repeatable", "false"},
-               {"Idempotency-Key", "k"},
-               {"Trestlepost-Priority", "9"}};
-  const result<request_options> options = read_options(asked);
+TEST(read_options_test, reads_all_options) {
+  fake_exchange exchange;
+  exchange.all = {{"Trestlepost-Labels", "a=1"},
+                  {"Trestlepost-Repeatable", "false"},
+                  {"Idempotency-Key", "k"},
+                  {"Trestlepost-Priority", "9"}};
+  const result<request_options> options = read_options(exchange);
   ASSERT_TRUE(options);
   EXPECT_EQ(options->labels.at("a"), "1");
   EXPECT_EQ(options->repeatable, false);
@@ -49,7 +49,7 @@
   EXPECT_EQ(options->priority, 9);
 }
 
-TEST(read_options_test, none_of_them_is_needed) {
+TEST(read_options_test, all_options_are_optional) {
   const result<request_options> options = read_options(fake_exchange());
   ASSERT_TRUE(options);
   EXPECT_TRUE(options->labels.empty());
@@ -58,13 +58,13 @@
   EXPECT_EQ(options->priority, 0);
 }
 
-struct bad_example {
+struct invalid_header_example {
   const char* name;
   std::string text;
 };
 
-TEST(read_options_test, what_is_not_understood_is_refused_by_name) {
-  const std::vector<bad_example> table{
+TEST(read_options_test, rejects_invalid_headers_by_name) {
+  const std::vector<invalid_header_example> table{
       {"Trestlepost-Labels", "a"},
       {"Trestlepost-Labels", ",a=1"},
       {"Trestlepost-Labels", "a=1,,b=2"},
@@ -81,10 +81,10 @@
       {"Trestlepost-Priority", "1 "},
       {"Trestlepost-Priority", "99999999999999999999"},
   };
-  for (const bad_example& it : table) {
-    fake_exchange odd;
-    odd.all = {{it.name, it.text}};
-    const result<request_options> options = read_options(odd);
+  for (const invalid_header_example& it : table) {
+    fake_exchange malformed;
+    malformed.all = {{it.name, it.text}};
+    const result<request_options> options = read_options(malformed);
     ASSERT_FALSE(options) << it.name << ": " << it.text;
     EXPECT_EQ(options.error().kind, error_kind::bad_input) << it.text;
     EXPECT_NE(options.error().message.find(it.name), std::string::npos)
@@ -93,10 +93,10 @@
   }
 }
 
-TEST(read_options_test, the_longest_key_is_taken) {
-  fake_exchange asked;
-  asked.all = {{"Idempotency-Key", std::string(256, 'k')}};
-  EXPECT_TRUE(read_options(asked));
+TEST(read_options_test, accepts_key_of_maximum_length) {
+  fake_exchange exchange;
+  exchange.all = {{"Idempotency-Key", std::string(256, 'k')}};
+  EXPECT_TRUE(read_options(exchange));
 }
 
 }  // namespace
--- a/soak/src/soak_run.cc
+++ b/soak/src/soak_run.cc
@@ -149,7 +149,7 @@
     const bench::caller_answer answer =
         co_await bench::send(client_, std::move(asked));
     if (answer.whole && answer.status == 200) {
-      plans_.shown(least, deployment::number_of_plan(answer.body), answer.body,
+      plans_.shown(least, deployment::plan_version(answer.body), answer.body,
                    node);
     }
     co_await pause(operator_pause);
@@ -221,8 +221,7 @@
     const std::uint64_t least = plans.newest_acknowledged();
     const bench::caller_answer answer = bench::send_now(of.read_request(it));
     if (!answer.whole || answer.status != 200) return false;
-    plans.shown(least, deployment::number_of_plan(answer.body), answer.body,
-                it);
+    plans.shown(least, deployment::plan_version(answer.body), answer.body, it);
   }
   return true;
 }
@@ -266,7 +265,7 @@
   out.faults = static_cast<int>(schedule.size());
   out.acknowledged = plans.acknowledgements();
   out.reads = plans.reads();
-  if (!out.found.empty()) out.folder = it.keep();
+  if (!out.found.empty()) out.folder = it.keep_folder();
   return out;
 }
 
