--- a/own/include/trestlepost/own/request_options.h
+++ b/own/include/trestlepost/own/request_options.h
@@ -28,6 +28,7 @@
 result<config::label_map> parse_labels(std::string_view text);
 
 /// Returns the caller's X-Request-Id if it is valid, or else an empty string.
+/// Characters that could corrupt a log line are invalid.
 std::string valid_request_id(std::string_view text);
 
 /// Returns the token of an Authorization header "Bearer TOKEN", or an empty
