--- a/own/src/entry_codec.cc
+++ b/own/src/entry_codec.cc
@@ -1,4 +1,5 @@
-// How callers find entries, and how a node's readiness is asked for.
+// Parses callers' look-ups of entries and queries for a node's readiness or
+// health, and encodes the answers.
 #include <cstdlib>
 
 #include "trestlepost/own/codecs.h"
@@ -18,7 +19,8 @@
   return target.substr(0, target.find('?'));
 }
 
-/// Undoes percent encoding, as far as labels need it.
+/// Decodes percent escapes. Digits that aren't hexadecimal are not reported as
+/// an error.
 std::string decode_query(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -78,7 +80,7 @@
   return path_of(target) == readiness_path;
 }
 
-bool entry_codec::asks_health(std::string_view target) const {
+bool entry_codec::is_health_query(std::string_view target) const {
   return path_of(target) == health_path;
 }
 
--- a/own/src/headers.h
+++ b/own/src/headers.h
@@ -1,4 +1,5 @@
-// Header names and limits that callers are told of (docs/INTERFACES.md).
+// Header names of the protocol with callers and endpoints, as documented in
+// docs/INTERFACES.md, and parsing helpers for their values.
 #pragma once
 
 #include <charconv>
@@ -23,23 +24,24 @@
 inline constexpr char attempt[] = "Trestlepost-Attempt";
 }  // namespace headers
 
-/// A whole number from `least` to `most`, or nothing.
+/// Parses a decimal integer from `min` to `max`.
 inline std::optional<std::int64_t> read_number(std::string_view text,
-                                               std::int64_t least,
-                                               std::int64_t most) {
+                                               std::int64_t min,
+                                               std::int64_t max) {
   std::int64_t n = 0;
   const char* end = text.data() + text.size();
   const std::from_chars_result read = std::from_chars(text.data(), end, n);
-  const bool whole = read.ec == std::errc() && read.ptr == end;
-  if (!whole || n < least || n > most) return std::nullopt;
+  const bool complete = read.ec == std::errc() && read.ptr == end;
+  if (!complete || n < min || n > max) return std::nullopt;
   return n;
 }
 
-/// The refusal of a header; `remedy` says how to write it.
-inline tl::unexpected<error> bad_header(std::string_view name,
-                                        std::string_view remedy) {
+/// Returns the error for a header with an invalid value; `remedy` describes the
+/// valid ones.
+inline tl::unexpected<error> invalid_header(std::string_view name,
+                                            std::string_view remedy) {
   return fail(error_kind::bad_input,
-              "the header " + std::string(name) + " is not understood",
+              "the header " + std::string(name) + " has an invalid value",
               std::string(remedy));
 }
 
--- a/soak/src/soak_run.cc
+++ b/soak/src/soak_run.cc
@@ -152,7 +152,7 @@
         co_await bench::send(client_, std::move(request));
     if (answer.complete && answer.status == 200) {
       plans_.record_read(acknowledged_number,
-                         deployment::number_of_plan(answer.body), answer.body,
+                         deployment::plan_version(answer.body), answer.body,
                          node);
     }
     co_await pause(operator_pause);
@@ -226,7 +226,7 @@
         bench::send_and_wait(target.read_request(it));
     if (!answer.complete || answer.status != 200) return false;
     plans.record_read(acknowledged_number,
-                      deployment::number_of_plan(answer.body), answer.body, it);
+                      deployment::plan_version(answer.body), answer.body, it);
   }
   return true;
 }
@@ -271,7 +271,7 @@
   out.faults = static_cast<int>(schedule.size());
   out.acknowledged = plans.acknowledgements();
   out.reads = plans.reads();
-  if (!out.violations.empty()) out.folder = it.keep();
+  if (!out.violations.empty()) out.folder = it.keep_folder();
   return out;
 }
 
