--- a/base/include/trestlepost/base/base64.h
+++ b/base/include/trestlepost/base/base64.h
@@ -1,4 +1,4 @@
-// Bytes as plain characters, on OpenSSL: JSON text holds no bytes.
+// Base64 encoding with OpenSSL, used to carry binary data in JSON strings.
 #pragma once
 
 #include <optional>
@@ -7,9 +7,10 @@
 
 namespace trestlepost {
 
+/// Encodes with padding and without line breaks.
 std::string to_base64(std::string_view data);
 
-/// Undoes `to_base64`; nothing for an empty or damaged text.
+/// Decodes padded base64. Returns nullopt for empty or malformed text.
 std::optional<std::string> from_base64(std::string_view text);
 
 }  // namespace trestlepost
--- a/base/include/trestlepost/base/clock.h
+++ b/base/include/trestlepost/base/clock.h
@@ -1,4 +1,5 @@
-// Time, as an interface: decision code never reads a clock of its own.
+// Clocks. Decision code reads time through `clock_source`, so that tests can
+// control it.
 #pragma once
 
 #include <chrono>
@@ -6,9 +7,9 @@
 
 namespace trestlepost {
 
-/// A steady clock that also goes on while the machine is suspended, which
-/// `std::chrono::steady_clock` does not: after it, leases and deadlines would
-/// look as fresh as before.
+/// Steady clock that includes time for which the machine is suspended
+/// (CLOCK_BOOTTIME). `std::chrono::steady_clock` stops during a suspension, so
+/// leases and deadlines that have expired would still look valid.
 struct boot_clock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -19,13 +20,13 @@
   static time_point now() noexcept;
 };
 
-/// Monotonic time; it goes on while a process is frozen or its machine is
+/// Monotonic time. It advances while the process is frozen or the machine is
 /// suspended.
 using monotonic_time = boot_clock::time_point;
-/// Calendar time, for records that outlive a process.
+/// Calendar time, for records that outlive the process.
 using wall_time = std::chrono::system_clock::time_point;
 
-/// Source of both times.
+/// Provides monotonic and calendar time.
 class clock_source {
  public:
   virtual ~clock_source() = default;
@@ -33,18 +34,19 @@
   virtual wall_time wall_now() const = 0;
 };
 
-/// The machine's clocks.
+/// Reads the system clocks.
 class system_clock_source final : public clock_source {
  public:
   monotonic_time now() const override;
   wall_time wall_now() const override;
 };
 
-/// Milliseconds since 1970, the form that records carry.
+/// Converts to and from milliseconds since the Unix epoch, the format of stored
+/// and transmitted times.
 std::int64_t to_unix_ms(wall_time at);
 wall_time from_unix_ms(std::int64_t ms);
 
-/// "2026-12-02T10:00:00.000Z".
+/// Formats as ISO 8601 in UTC, for example "2026-12-02T10:00:00.000Z".
 std::string format_utc(wall_time at);
 
 }  // namespace trestlepost
--- a/base/include/trestlepost/base/compression.h
+++ b/base/include/trestlepost/base/compression.h
@@ -1,5 +1,5 @@
-// Makes texts smaller: messages between peers, since bytes between regions are
-// dear, and large commands of the log.
+// Compression of JSON text with zlib. Used for messages between nodes, since
+// traffic between regions is expensive, and for large commands in the log.
 #pragma once
 
 #include <cstddef>
@@ -9,17 +9,20 @@
 
 namespace trestlepost {
 
-/// The JSON text compressed where that makes it shorter, else as it is. The
-/// result is binary.
+/// Compresses JSON text. Returns the text unchanged if compression does not
+/// make it shorter. The result is binary.
 std::string pack(std::string_view text);
 
-/// Undoes `pack`; nothing for damaged input, or for a text above `limit`.
+/// Reverses `pack`. Returns nullopt if the payload is damaged or its text is
+/// larger than `limit` bytes.
 std::optional<std::string> unpack(std::string payload, std::size_t limit);
 
-/// As `pack`, but the result is plain characters that need no escapes in JSON.
+/// Like `pack`, but returns text that needs no escaping in a JSON string: an
+/// uncompressed text as it is, a compressed one in base64.
 std::string pack_printable(std::string_view text);
 
-/// Undoes `pack_printable`.
+/// Reverses `pack_printable`. Returns nullopt under the same conditions as
+/// `unpack`.
 std::optional<std::string> unpack_printable(std::string_view packed,
                                             std::size_t limit);
 
--- a/base/include/trestlepost/base/error.h
+++ b/base/include/trestlepost/base/error.h
@@ -1,5 +1,5 @@
-// Typed errors. Every message names what happened; every remedy names what the
-// reader can do about it.
+// Typed errors. The message of an error states what happened, and its remedy
+// what the recipient can do about it.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace trestlepost {
 
-/// What kind of failure an `error` is. Each kind has one wire name, listed in
+/// Category of an `error`. Each has one name on the wire, listed in
 /// docs/INTERFACES.md.
 enum class error_kind {
   bad_input,
@@ -40,7 +40,7 @@
   internal
 };
 
-/// A failure with its remedy.
+/// Failure with a message and a remedy for people.
 struct error {
   error_kind kind = error_kind::internal;
   std::string message;
@@ -50,13 +50,13 @@
 template <typename T>
 using result = tl::expected<T, error>;
 
-/// The wire name of `kind`, in kebab case.
+/// Returns the wire name of `kind`, in kebab case.
 std::string_view to_string(error_kind kind);
 
-/// The kind with the wire name `name`, or `internal` for an unknown name.
+/// Returns the kind with the wire name `name`, or `internal` if there is none.
 error_kind error_kind_from(std::string_view name);
 
-/// Shorthand for an unexpected `error`.
+/// Makes the error alternative of a `result`.
 tl::unexpected<error> fail(error_kind kind, std::string message,
                            std::string remedy);
 
--- a/base/include/trestlepost/base/hash.h
+++ b/base/include/trestlepost/base/hash.h
@@ -1,4 +1,4 @@
-// Hashes, on xxhash and OpenSSL.
+// Hash functions, based on xxHash and OpenSSL.
 #pragma once
 
 #include <array>
@@ -8,24 +8,27 @@
 
 namespace trestlepost {
 
-/// Fast 64-bit hash, for placement and checksums; not for secrets.
+/// Returns the 64-bit XXH3 hash, for placement and checksums. It is not
+/// cryptographically secure.
 std::uint64_t hash64(std::string_view data, std::uint64_t seed = 0);
 
-/// SHA-256 in hexadecimal, for tokens and request digests.
+/// Returns SHA-256 in hexadecimal, for tokens and request digests.
 std::string sha256_hex(std::string_view data);
 
+/// Output of a 256-bit cryptographic hash.
 using digest = std::array<unsigned char, 32>;
 
-/// HMAC-SHA-256.
+/// Returns HMAC-SHA-256 of `data`.
 digest keyed_digest(std::string_view key, std::string_view data);
 
-/// Compares in constant time.
+/// Compares in constant time, so that timing does not reveal the digest.
 bool same_digest(const digest& a, const digest& b);
 
-/// Score of `member` for `key` in a rendezvous hash; the highest wins.
+/// Returns the score of `member` for `key` in rendezvous hashing: the member
+/// with the highest score is selected.
 std::uint64_t rendezvous_score(std::string_view key, std::string_view member);
 
-/// Lower-case hexadecimal of `bytes`.
+/// Formats `n` bytes in lower-case hexadecimal.
 std::string to_hex(const unsigned char* bytes, std::size_t n);
 
 }  // namespace trestlepost
--- a/base/include/trestlepost/base/json.h
+++ b/base/include/trestlepost/base/json.h
@@ -1,4 +1,4 @@
-// JSON values and text, on jsoncpp.
+// Parsing, formatting and lenient access of JSON values, based on jsoncpp.
 #pragma once
 
 #include <json/value.h>
@@ -14,38 +14,39 @@
 
 using json = Json::Value;
 
-/// Deepest nesting that `parse_json` accepts.
+/// Maximum nesting depth that the parsers accept.
 inline constexpr unsigned max_json_depth = 64;
 
-/// Whether comments may stand in the text.
+/// Whether `parse_json` accepts comments and trailing commas.
 enum class json_comments { refuse, allow };
 
-/// Parses one document; trailing text and doubled keys are errors.
+/// Parses one document. Trailing text and duplicate keys are errors.
 result<json> parse_json(std::string_view text,
                         json_comments comments = json_comments::refuse);
 
-/// The value on one line.
+/// Formats on a single line.
 std::string to_text(const json& value);
 
-/// The value indented for people.
+/// Formats with indentation, for people.
 std::string to_pretty_text(const json& value);
 
-/// A number as a value; a span of time in whole milliseconds.
+/// Converts a number, or a duration in milliseconds, to a JSON number.
 json as_number(std::uint64_t n);
 json as_number(std::chrono::milliseconds n);
 
-/// Lenient accessors for messages from peers: a missing or mistyped member
-/// reads as the empty value.
+/// Lenient accessors for messages from other nodes. They return an empty
+/// string, 0 or false if the member is missing or has another type.
 std::string text_of(const json& object, const char* key);
 std::uint64_t number_of(const json& object, const char* key);
 double real_of(const json& object, const char* key);
 bool flag_of(const json& object, const char* key);
 
-/// An error as peers tell it.
+/// Converts an error to and from the form in which nodes exchange it.
 json to_json(const error& value);
 error error_from(const json& value);
 
-/// The member `key`, or a shared null value when it is missing.
+/// Returns the member `key`, or a shared null value if it is missing or
+/// `object` is no object.
 const json& member_of(const json& object, const char* key);
 
 }  // namespace trestlepost
--- a/base/include/trestlepost/base/json_document.h
+++ b/base/include/trestlepost/base/json_document.h
@@ -1,5 +1,6 @@
-// Large JSON documents, read into one arena. Parsing one takes a tenth of the
-// time that `parse_json` takes, whose values allocate each member by itself.
+// Parser for large JSON documents that allocates all values from one arena. It
+// takes a tenth of the time of `parse_json`, which allocates each value
+// separately.
 #pragma once
 
 #include <boost/json/array.hpp>
@@ -12,10 +13,12 @@
 
 namespace trestlepost {
 
-/// One parsed document; its values live as long as it does.
+/// Parsed document. It owns its values: references to them are valid as long as
+/// the document.
 class json_document {
  public:
-  /// As strict as `parse_json`: trailing text and doubled keys are errors.
+  /// Parses one document as strictly as `parse_json`: trailing text and
+  /// duplicate keys are errors.
   static result<json_document> parse(std::string_view text);
 
   const boost::json::value& root() const { return *root_; }
@@ -23,12 +26,13 @@
  private:
   json_document() = default;
 
-  // Declared in this order: the arena outlives the values in it.
+  // The arena is declared first because it must outlive the values in it.
   std::unique_ptr<boost::json::monotonic_resource> arena_;
   std::unique_ptr<boost::json::value> root_;
 };
 
-/// The member `key`, or a shared null value when it is missing.
+/// Returns the member `key`, or a shared null value if it is missing or
+/// `object` is no object.
 const boost::json::value& member_of(const boost::json::value& object,
                                     std::string_view key);
 
--- a/base/include/trestlepost/base/json_elements.h
+++ b/base/include/trestlepost/base/json_elements.h
@@ -1,5 +1,6 @@
-// Reads the objects of a JSON list one by one, so that one that another writer
-// spoiled costs only itself.
+// Error-tolerant parser for a JSON document that holds an array of objects. If
+// the document is malformed, the elements that are valid by themselves are
+// still read.
 #pragma once
 
 #include <string>
@@ -11,26 +12,27 @@
 
 namespace trestlepost {
 
-/// The objects of the list that is the member `list` of the document `text`.
-/// A document that is JSON as a whole is read so. Of another one the readable
-/// objects are found: an object counts when it is JSON in UTF-8 by itself,
-/// stands between the signs that divide a list, and has a member `mark`, which
-/// tells the objects of the list from those inside of them.
+/// Elements of one array member of a document, and the other members.
 struct json_elements {
-  std::vector<result<json>> items;  // or why one can't be read
-  /// The other members of the document; empty where it is not JSON.
+  /// Elements in document order; an error for one that cannot be read.
+  std::vector<result<json>> items;
+  /// Other members of the document. Null if the document is malformed.
   json rest;
-  /// False where the document is not JSON as a whole.
+  /// Whether the whole document is valid JSON in UTF-8.
   bool whole = false;
 };
 
-/// An error when there is no such list, or so much of it is unreadable that
-/// the rest is not to be trusted.
+/// Reads the array member `list` of the document `text`. In a malformed
+/// document an object counts as an element if it is valid JSON in UTF-8, has
+/// array punctuation on both sides and has a member `mark`, which distinguishes
+/// elements from objects nested in them. Returns an error if there is no such
+/// array, or if too much of it is unreadable to trust the remainder.
 result<json_elements> read_elements(std::string_view text, const char* list,
                                     const char* mark);
 
-/// The text member `key` of a document that is not JSON as a whole, from the
-/// last place where it stands; null where it is told to be null.
+/// Finds the last occurrence of the member `key` in a malformed document and
+/// returns its value, a string or null. Returns an error if there is none or
+/// the value has another type.
 result<json> find_text_member(std::string_view text, std::string_view key);
 
 }  // namespace trestlepost
--- a/base/include/trestlepost/base/log.h
+++ b/base/include/trestlepost/base/log.h
@@ -1,4 +1,4 @@
-// Structured logs: one JSON line an event, on log4cxx.
+// Structured logging with log4cxx: one line of JSON per event.
 #pragma once
 
 #include <initializer_list>
@@ -9,22 +9,22 @@
 
 enum class log_level { debug, info, warn, error };
 
-/// One field of an event. Never put content of requests into a field.
+/// Field of an event. It must not contain the content of requests.
 struct log_field {
   const char* name;
   std::string value;
 };
 
-/// Starts logging to standard output (or to `file` when not empty); `node` and
-/// `region` go into every line.
+/// Starts logging to `file`, or to standard output if `file` is empty. Every
+/// line contains `node` and `region`. Events below `lowest` are not logged.
 void start_log(const std::string& node, const std::string& region,
                log_level lowest, const std::string& file);
 
 void set_log_level(log_level lowest);
 
-/// Writes one event. `event` is a stable name in kebab case. Lines of one kind
-/// are bounded a second; the next one says how many were left out. Never waits
-/// for the reader of the output.
+/// Logs one event. `event` is a stable name in kebab case. Each name has a rate
+/// limit; the next line that is written reports how many were dropped. Writing
+/// to standard output never blocks.
 void log_event(log_level level, std::string_view event,
                std::initializer_list<log_field> fields = {});
 
--- a/base/include/trestlepost/base/log_writer.h
+++ b/base/include/trestlepost/base/log_writer.h
@@ -1,6 +1,5 @@
-// Keeps logging from ever stopping the process: lines that the reader of the
-// output does not take in time wait in a bounded buffer, and then are left
-// out and counted.
+// Non-blocking log output, so that a slow reader of the log cannot stall the
+// process. Lines are buffered up to a limit, then dropped and counted.
 #pragma once
 
 #include <chrono>
@@ -15,19 +14,19 @@
 
 namespace trestlepost {
 
-/// Writes whole lines to a file descriptor without waiting for its reader.
+/// Writes lines to a file descriptor without blocking.
 class log_writer {
  public:
-  /// Bytes that may wait for the reader.
+  /// Maximum size of the buffer in bytes.
   static constexpr std::size_t default_capacity = 256UL * 1024;
 
   explicit log_writer(int fd, std::size_t capacity = default_capacity)
       : fd_(fd), capacity_(capacity) {}
 
-  /// Takes a line, with its end of line; leaves it out when the buffer is
-  /// full.
+  /// Queues a line, which includes its line break, and flushes. Drops the line
+  /// if the buffer is full.
   void push(std::string line);
-  /// Writes what the reader takes now.
+  /// Writes as much of the buffer as possible without blocking.
   void flush();
 
   std::uint64_t lines_left_out() const { return left_out_; }
@@ -43,7 +42,7 @@
   std::uint64_t left_out_ = 0;
 };
 
-/// Bounds the lines of each kind of event.
+/// Token bucket for each event name, which limits its rate of log lines.
 class log_rate_limiter {
  public:
   struct options {
@@ -55,9 +54,10 @@
 
   struct verdict {
     bool write = true;
-    /// Lines of this kind left out since the last one that was written.
+    /// Lines of this event dropped since the last one that was written.
     std::uint64_t left_out_before = 0;
   };
+  /// Decides whether the event may be written at `now`, and counts it if not.
   verdict ask(std::string_view event, monotonic_time now);
 
  private:
--- a/base/include/trestlepost/base/object_reader.h
+++ b/base/include/trestlepost/base/object_reader.h
@@ -1,5 +1,5 @@
-// Checked reading of JSON documents that people write: every mistake is
-// collected with its line, key and remedy, so that one run shows them all.
+// Validating reader for JSON documents that people write. It collects every
+// problem with its line, key and remedy, so that one run reports them all.
 #pragma once
 
 #include <chrono>
@@ -14,28 +14,29 @@
 
 namespace trestlepost {
 
-/// One mistake in a document.
+/// Validation error in a document.
 struct problem {
-  int line = 0;  // 1-based; 0 when the place is not known
+  int line = 0;  // starts at 1; 0 if unknown
   std::string key;
   std::string message;
   std::string remedy;
 };
 
-/// Collects problems and turns byte offsets into lines.
+/// Collects problems and converts byte offsets to line numbers.
 class problem_list {
  public:
-  /// `text` is the document that the offsets refer to; it is copied.
+  /// `text` is the document to which offsets refer. Without it, problems have
+  /// no line.
   explicit problem_list(std::string text = {});
 
-  /// Adds a problem at `where`.
+  /// Adds a problem at the line where the value `where` starts.
   void add(const json& where, std::string key, std::string message,
            std::string remedy);
 
   bool empty() const { return problems_.empty(); }
   const std::vector<problem>& items() const { return problems_; }
 
-  /// One line a problem: "FILE:LINE: KEY: MESSAGE; REMEDY".
+  /// Formats each problem on a line: "FILE:LINE: KEY: MESSAGE; REMEDY".
   std::string to_text(const std::string& file) const;
 
  private:
@@ -45,21 +46,26 @@
   std::vector<problem> problems_;
 };
 
-/// Parses "250 ms", "5 s", "2 min" or "24 h".
+/// Parses a duration such as "250 ms", "5 s", "2 min" or "24 h". Returns
+/// nullopt if it is negative, too large or has no known unit.
 std::optional<std::chrono::milliseconds> parse_duration(std::string_view text);
 
-/// Writes a duration the way `parse_duration` reads it.
+/// Formats a duration for `parse_duration`, in the largest unit that divides
+/// it.
 std::string format_duration(std::chrono::milliseconds value);
 
-/// Reads the members of one object. Call `finish` last: it reports the keys
-/// that no accessor asked for.
+/// Reads the members of an object. Each accessor marks its key as known and
+/// adds a problem if the value is invalid. Holds references to `value` and
+/// `problems`.
 class object_reader {
  public:
   object_reader(const json& value, std::string path, problem_list& problems);
 
-  /// Required members; on a mistake a problem is added and the empty value or
-  /// the fallback returned.
+  /// Returns a required, non-empty string, or an empty string with a problem.
   std::string text(const char* key);
+
+  /// These return the fallback, or an empty container, if the member is missing
+  /// or, with a problem, if it is invalid. Ranges include both limits.
   std::string text_or(const char* key, const std::string& fallback);
   bool flag_or(const char* key, bool fallback);
   std::uint64_t number_or(const char* key, std::uint64_t fallback,
@@ -71,19 +77,21 @@
   std::vector<std::string> texts_or_empty(const char* key);
   std::map<std::string, std::string> text_map_or_empty(const char* key);
 
-  /// One of `choices`; the first one is the default.
+  /// Returns one of `choices`. The first one is the default.
   std::string choice_or_first(const char* key,
                               const std::vector<std::string>& choices);
 
-  /// An array of objects (empty when missing); the caller reads each.
+  /// Returns the elements of an array, or none if it is missing. The caller
+  /// checks that each is an object.
   std::vector<json> objects_or_empty(const char* key);
 
-  /// The member as it stands, or null; marks the key as known.
+  /// Returns the member without validation, or null if it is missing.
   const json& raw(const char* key);
 
-  /// The path of member `key`, as shown in problems.
+  /// Returns the path of the member `key`, as shown in problems.
   std::string path_of(const char* key) const;
 
+  /// Adds a problem for each member that no accessor has read. Call it last.
   void finish();
 
  private:
@@ -96,7 +104,8 @@
   std::vector<std::string> known_;
 };
 
-/// The entry of `known` nearest to `word` by edit distance, or empty.
+/// Returns the entry of `known` with the smallest edit distance to `word`, or
+/// an empty string if none is similar.
 std::string nearest_word(const std::string& word,
                          const std::vector<std::string>& known);
 
--- a/base/include/trestlepost/base/random.h
+++ b/base/include/trestlepost/base/random.h
@@ -1,4 +1,5 @@
-// Random numbers, as an interface, so that tests can replay a run.
+// Random numbers behind an interface, so that tests can reproduce a run from
+// its seed.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +14,12 @@
   virtual ~random_source() = default;
   virtual std::uint64_t next() = 0;
 
-  /// Uniform in [0, bound); 0 when `bound` is 0.
+  /// Returns a number in [0, bound), or 0 if `bound` is 0. It is reduced modulo
+  /// `bound`, so it is uniform only for a bound far below 2^64.
   std::uint64_t below(std::uint64_t bound);
 };
 
-/// Deterministic source for tests and stand-ins.
+/// Deterministic source for tests and simulated endpoints.
 class seeded_random final : public random_source {
  public:
   explicit seeded_random(std::uint64_t seed) : engine_(seed) {}
@@ -27,13 +29,14 @@
   std::mt19937_64 engine_;
 };
 
-/// The system's cryptographic source.
+/// Cryptographically secure source of the system.
 class system_random final : public random_source {
  public:
+  /// Throws `std::runtime_error` if the source fails.
   std::uint64_t next() override;
 };
 
-/// 128 random bits in hexadecimal.
+/// Returns 128 random bits in hexadecimal.
 std::string make_request_id(random_source& random);
 
 }  // namespace trestlepost
--- a/base/include/trestlepost/base/text_delta.h
+++ b/base/include/trestlepost/base/text_delta.h
@@ -1,4 +1,5 @@
-// A text as a change of another one: what they share is named by its place.
+// Delta encoding of text: parts that both texts share are copied by offset and
+// length.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +9,13 @@
 
 namespace trestlepost {
 
-/// What leads from `before` to `after`. Parts that end with a closing brace
-/// are compared as wholes, so the delta is short for JSON documents that share
-/// most of their objects, wherever they stand.
+/// Returns a delta that converts `before` to `after`. Both are split after each
+/// closing brace and compared segment by segment, so the delta is short for
+/// JSON documents that share most of their objects, in any order.
 std::string make_text_delta(std::string_view before, std::string_view after);
 
-/// The text that `delta` leads to from `before`; nothing when it does not fit,
-/// or when the text would be longer than `limit` bytes.
+/// Applies `delta` to `before`. Returns nullopt if the delta is malformed,
+/// refers beyond the end of `before`, or results in more than `limit` bytes.
 std::optional<std::string> apply_text_delta(std::string_view before,
                                             std::string_view delta,
                                             std::size_t limit);
--- a/base/include/trestlepost/base/utf8.h
+++ b/base/include/trestlepost/base/utf8.h
@@ -1,4 +1,5 @@
-// Text that others wrote: whether it can be shown, logged and sent on.
+// Validation of text from other systems before it is displayed, logged or
+// forwarded.
 #pragma once
 
 #include <cstddef>
@@ -6,14 +7,15 @@
 
 namespace trestlepost {
 
-/// Whether `text` is well-formed UTF-8.
+/// Returns whether `text` is well-formed UTF-8.
 bool is_utf8(std::string_view text);
 
-/// Whether `text` is UTF-8 of one to `most` bytes without control characters.
+/// Returns whether `text` is UTF-8 of 1 to `most` bytes without control
+/// characters.
 bool is_printable(std::string_view text, std::size_t most);
 
-/// Whether `text` is one to `most` visible ASCII characters: what may stand in
-/// a header or an address.
+/// Returns whether `text` is 1 to `most` visible ASCII characters, as allowed
+/// in a header or an address.
 bool is_visible_ascii(std::string_view text, std::size_t most);
 
 }  // namespace trestlepost
--- a/base/src/base64.cc
+++ b/base/src/base64.cc
@@ -28,7 +28,7 @@
                       reinterpret_cast<const unsigned char*>(text.data()),
                       static_cast<int>(text.size()));
   if (n < 0) return std::nullopt;
-  // It counts the padding as bytes.
+  // EVP_DecodeBlock counts padding as decoded bytes.
   const std::size_t last = text.find_last_not_of('=');
   const std::size_t padding = text.size() - 1 - last;
   if (last == std::string_view::npos || padding > 2) return std::nullopt;
--- a/base/src/clock.cc
+++ b/base/src/clock.cc
@@ -8,7 +8,7 @@
 
 boot_clock::time_point boot_clock::now() noexcept {
   std::timespec at{};
-  // The kernel has it since 2.6.39 and knows no way for it to fail.
+  // CLOCK_BOOTTIME exists since Linux 2.6.39; reading it cannot fail.
   ::clock_gettime(CLOCK_BOOTTIME, &at);
   return time_point(std::chrono::seconds(at.tv_sec) +
                     std::chrono::nanoseconds(at.tv_nsec));
--- a/base/src/compression.cc
+++ b/base/src/compression.cc
@@ -9,17 +9,19 @@
 namespace trestlepost {
 namespace {
 
-// Stands before a compressed text. A text that is not compressed is JSON and
-// begins with a brace.
+// First byte of a compressed payload. Uncompressed text is JSON and starts with
+// a brace.
 constexpr char compressed_mark = '\1';
+// Length of the uncompressed size, which is big-endian.
 constexpr std::size_t size_bytes = 4;
 constexpr std::size_t head_size = 1 + size_bytes;
-// Shorter texts gain too little for the work.
+// Size in bytes below which compression saves too little for its cost.
 constexpr std::size_t least_compressed = 256;
+// Fastest compression level of zlib.
 constexpr int fast_level = 1;
 
-// Stands before printable characters, where a text that is not compressed has a
-// brace.
+// First character of a compressed payload in base64. Uncompressed text starts
+// with a brace.
 constexpr char printable_mark = 'z';
 
 void append_size(std::string& out, std::size_t n) {
--- a/base/src/json_document.cc
+++ b/base/src/json_document.cc
@@ -13,7 +13,8 @@
 using boost::json::string_view;
 using error_code = boost::json::error_code;
 
-/// Builds the values of a document, and counts the keys that it holds.
+/// Parser handler that builds the values of a document and counts its keys,
+/// including duplicates.
 class document_builder {
  public:
   static constexpr std::size_t max_object_size = -1;
@@ -83,6 +84,7 @@
   std::size_t keys_ = 0;
 };
 
+/// Counts the members of all objects in `value`, at any depth.
 std::size_t count_members(const boost::json::value& value) {
   std::size_t out = 0;
   if (const boost::json::array* all = value.if_array()) {
@@ -116,7 +118,8 @@
   if (ec) return not_json(ec.message());
   if (n < text.size()) return not_json("text follows the document");
   out.root_ = std::make_unique<boost::json::value>(parser.handler().release());
-  // An object keeps one value of each key.
+  // An object stores each key once, so fewer members than parsed keys means
+  // that there are duplicates.
   if (count_members(*out.root_) != parser.handler().keys()) {
     return not_json("a key stands twice in an object");
   }
--- a/base/src/json_elements.cc
+++ b/base/src/json_elements.cc
@@ -9,10 +9,11 @@
 namespace trestlepost {
 namespace {
 
-// Bytes of one element; bounds the work on text without an end.
+// Maximum size of an element in bytes. Limits the search for the end of an
+// object that is not terminated.
 constexpr std::size_t largest_element = 16UL * 1024;
-// Above this many unreadable places a document is given up: looking for where
-// the next element begins costs up to `largest_element` each time.
+// Maximum number of unreadable objects before the whole document is rejected,
+// since each costs a scan of up to `largest_element` bytes.
 constexpr std::size_t most_unreadable = 256;
 
 constexpr std::string_view blanks = " \t\r\n";
@@ -21,7 +22,8 @@
   return fail(error_kind::bad_input, what, "check who writes the list");
 }
 
-/// Past the object that begins at `begin`; npos when its end isn't there.
+/// Returns the offset after the object that starts at `begin`, or npos if its
+/// end is missing or too far away.
 std::size_t end_of_object(std::string_view text, std::size_t begin) {
   const std::size_t last = std::min(text.size(), begin + largest_element);
   std::size_t depth = 0;
@@ -40,8 +42,8 @@
   return std::string_view::npos;
 }
 
-/// Whether the signs of a list stand around the text from `begin` to `end`: a
-/// comma, or the bracket of its beginning or end.
+/// Returns whether the text from `begin` to `end` has array punctuation on both
+/// sides: a comma, or the opening or closing bracket.
 bool is_divided(std::string_view text, std::size_t begin, std::size_t end) {
   const std::size_t next = text.find_first_not_of(blanks, end);
   const std::size_t last = text.substr(0, begin).find_last_not_of(blanks);
@@ -52,11 +54,12 @@
          (text[last] == ',' || text[last] == '[');
 }
 
-/// The object at `begin` and where it ends, if it is an element.
+/// Element and the offset after it.
 struct found_element {
   json value;
   std::size_t end = 0;
 };
+/// Returns the object at `begin` if it is an element of the array.
 std::optional<found_element> element_at(std::string_view text,
                                         std::size_t begin, const char* mark) {
   const std::size_t end = end_of_object(text, begin);
@@ -70,7 +73,8 @@
   return found_element{std::move(*value), end};
 }
 
-/// Past the bracket that opens the list; npos when there is none.
+/// Returns the offset after the opening bracket of the array member `list`, or
+/// npos if there is none.
 std::size_t begin_of_list(std::string_view text, const char* list) {
   const std::string key = "\"" + std::string(list) + "\"";
   const std::size_t named = text.find(key);
@@ -84,6 +88,7 @@
   return opens ? open + 1 : std::string_view::npos;
 }
 
+/// Finds the readable elements of a malformed document.
 result<json_elements> search(std::string_view text, const char* list,
                              const char* mark) {
   std::size_t at = begin_of_list(text, list);
@@ -102,7 +107,7 @@
     if (++unreadable_places > most_unreadable) {
       return unreadable("most of the list is unreadable");
     }
-    // Objects inside of one that can't be read belong to it.
+    // Adjacent unreadable objects, which may be nested, are reported as one.
     if (!in_unreadable) {
       out.items.emplace_back(unreadable("it is not JSON in UTF-8"));
     }
--- a/base/src/log.cc
+++ b/base/src/log.cc
@@ -15,13 +15,13 @@
 namespace trestlepost {
 namespace detail {
 
-// The library's macros name these without their namespace.
+// The macros of log4cxx refer to these names without their namespace.
 namespace helpers = log4cxx::helpers;
 using log4cxx::AppenderSkeleton;
 using log4cxx::LogString;
 
-/// Formats by its layout and hands the line to a `log_writer` on standard
-/// output.
+/// Formats events with the layout and writes them to standard output without
+/// blocking.
 class line_appender final : public log4cxx::AppenderSkeleton {
  public:
   DECLARE_LOG4CXX_OBJECT(line_appender)
@@ -49,11 +49,12 @@
 
 namespace {
 
-// Lines a second of one kind of event. A gateway of today's size answers some
-// 30 requests a second; failures are kinds of their own, so a flood of answers
-// never crowds them out.
+// Lines per second and burst for each event name. A gateway serves about 30
+// requests per second. Failures have their own event names, so they are not
+// dropped because of many successful requests.
 constexpr log_rate_limiter::options rate_limits{100, 300};
-// A longer value says no more to a reader, and fills the output.
+// Maximum size of a field's value in bytes. The remainder of a longer value
+// rarely helps the reader and fills the log.
 constexpr std::size_t longest_value = 512;
 
 log4cxx::LevelPtr level_of(log_level level) {
--- a/base/src/log_writer.cc
+++ b/base/src/log_writer.cc
@@ -27,7 +27,7 @@
 void log_writer::flush() {
   while (!waiting_.empty() && may_write()) {
     const std::string& line = waiting_.front();
-    // A pipe that is ready takes this many bytes without waiting.
+    // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
     const std::size_t n =
         std::min<std::size_t>(line.size() - written_of_first_, PIPE_BUF);
     const ssize_t written = ::write(fd_, line.data() + written_of_first_, n);
--- a/base/src/object_reader.cc
+++ b/base/src/object_reader.cc
@@ -11,16 +11,18 @@
 
 using std::chrono::milliseconds;
 
+// Maximum edit distance of a key that is suggested for an unknown one.
 constexpr std::size_t max_distance_for_hint = 3;
 
 struct duration_unit {
   std::string_view name;
-  std::int64_t factor;
+  std::int64_t factor;  // milliseconds
 };
 
 constexpr std::array<duration_unit, 4> duration_units{
     {{"ms", 1}, {"s", 1000}, {"min", 60'000}, {"h", 3'600'000}}};
 
+/// Returns the Levenshtein distance.
 std::size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
@@ -82,7 +84,7 @@
   double n = 0;
   const std::from_chars_result parsed = std::from_chars(
       text.data(), text.data() + text.size(), n, std::chars_format::fixed);
-  // Written so that what is no number is refused too.
+  // The negated comparison rejects NaN as well.
   if (parsed.ec != std::errc() || !(n >= 0)) return std::nullopt;
   std::string_view unit =
       text.substr(static_cast<std::size_t>(parsed.ptr - text.data()));
--- a/base/src/text_delta.cc
+++ b/base/src/text_delta.cc
@@ -7,12 +7,13 @@
 namespace trestlepost {
 namespace {
 
-// A delta is "{", then any number of "=OFFSET,LENGTH;" (copied from the text
-// before) and "+LENGTH;" with so many bytes behind it (new text).
+// A delta is "{" followed by any number of instructions: "=OFFSET,LENGTH;"
+// copies from the old text, "+LENGTH;" inserts the LENGTH bytes after it.
 constexpr char delta_mark = '{';
 constexpr char copy_mark = '=';
 constexpr char new_mark = '+';
 
+/// Splits `text` after each closing brace.
 std::vector<std::string_view> split(std::string_view text) {
   std::vector<std::string_view> out;
   while (!text.empty()) {
@@ -25,7 +26,7 @@
   return out;
 }
 
-/// Joins neighbouring pieces of one kind.
+/// Writes instructions and merges adjacent ones of the same type.
 class delta_writer {
  public:
   void copy(std::size_t offset, std::size_t length) {
@@ -41,7 +42,7 @@
     if (copied_ > 0) flush();
     new_ += text;
   }
-  /// Where a copy that continues the last one would begin.
+  /// Returns the offset at which a copy would extend the current one.
   std::optional<std::size_t> next_offset() const {
     if (copied_ == 0) return std::nullopt;
     return offset_ + copied_;
@@ -70,7 +71,7 @@
   std::string new_;
 };
 
-/// Reads a delta from its start on.
+/// Reads the tokens of a delta in order.
 class delta_reader {
  public:
   explicit delta_reader(std::string_view text) : left_(text) {}
@@ -101,7 +102,8 @@
   std::string_view left_;
 };
 
-/// The next piece of the text that a delta leads to.
+/// Reads the next instruction and returns its part of the new text. Returns
+/// nullopt if the instruction is malformed or out of range.
 std::optional<std::string_view> read_piece(delta_reader& in,
                                            std::string_view before) {
   if (in.take(new_mark)) {
--- a/base/src/utf8.cc
+++ b/base/src/utf8.cc
@@ -9,7 +9,8 @@
 constexpr unsigned char first_visible = 0x21;
 constexpr unsigned char last_visible = 0x7e;
 
-/// Bytes of the character that begins with `lead`; 0: none begins so.
+/// Returns the length in bytes of the sequence that starts with `lead`, or 0 if
+/// none does.
 std::size_t length_of(unsigned char lead) {
   if (lead < 0x80) return 1;
   if (lead >= 0xc2 && lead < 0xe0) return 2;
@@ -18,8 +19,8 @@
   return 0;
 }
 
-/// Whether the second byte of a character rules out what must not be encoded:
-/// overlong forms, surrogates, and what lies beyond the last code point.
+/// Returns whether `second` may follow `lead`. Rejects overlong encodings,
+/// surrogates and code points above U+10FFFF.
 bool fits(unsigned char lead, unsigned char second) {
   switch (lead) {
     case 0xe0:
--- a/base/test/json_elements-test.cc
+++ b/base/test/json_elements-test.cc
@@ -5,7 +5,7 @@
 namespace trestlepost {
 namespace {
 
-/// The marks of the readable elements, "?" for each other one.
+/// Concatenates the ids of the elements, with "?" for each unreadable one.
 std::string marks_of(std::string_view text) {
   const result<json_elements> read = read_elements(text, "list", "id");
   if (!read) return "no list";
--- a/base/test/log_writer-test.cc
+++ b/base/test/log_writer-test.cc
@@ -11,6 +11,7 @@
 
 using std::chrono::milliseconds;
 
+/// Pipe whose reader reads only on request.
 class pipe_pair {
  public:
   pipe_pair() { EXPECT_EQ(::pipe(ends_.data()), 0); }
@@ -19,7 +20,7 @@
     ::close(ends_[1]);
   }
   int in() const { return ends_[1]; }
-  /// All that can be read now.
+  /// Reads what is available without blocking.
   std::string read_all() const {
     ::fcntl(ends_[0], F_SETFL, O_NONBLOCK);
     std::string out;
@@ -44,7 +45,7 @@
   std::string seen = pipe.read_all();
   writer.flush();
   seen += pipe.read_all();
-  // Every line that was taken came whole.
+  // No line is truncated: each is either written completely or counted.
   EXPECT_EQ(seen.size() % 1000, 0U);
   EXPECT_EQ(seen.size() / 1000 + writer.lines_left_out(), 1000U);
 }
--- a/transport/include/trestlepost/transport/asio.h
+++ b/transport/include/trestlepost/transport/asio.h
@@ -1,4 +1,4 @@
-// Names from Asio that this project uses.
+// Aliases for Asio types, and helpers for addresses and TCP sockets.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,38 +19,43 @@
 template <typename T>
 using awaitable = asio::awaitable<T>;
 
-/// A timer by the clock that goes on while the machine is suspended. After that
-/// it fires with the next timer of `steady_clock`, such as a node's tick,
-/// instead of late by all that time.
+/// Timer on `boot_clock`, which includes time for which the machine is
+/// suspended. After a suspension an expired timer fires together with the next
+/// timer of `steady_clock`, such as a node's tick, instead of being delayed by
+/// the length of the suspension.
 using timer = asio::basic_waitable_timer<boot_clock>;
 
-/// The same moment for what only takes timers of `steady_clock`; late by the
-/// time for which the machine is suspended until then.
+/// Converts a time for interfaces that only support `steady_clock`. If the
+/// machine is suspended before that time, the result is late by the length of
+/// the suspension.
 std::chrono::steady_clock::time_point steady_time(monotonic_time at);
 
-/// Reads "IP:PORT".
+/// Parses "IP:PORT".
 result<tcp::endpoint> parse_address(const std::string& text);
 
-/// Sets up a connection that was accepted: no delay for small messages, and an
-/// end when what was sent is not acknowledged for 5 s. Callers may read slowly.
+/// Sets the options of an accepted connection: TCP_NODELAY, and a TCP user
+/// timeout of 5 s for unacknowledged data. Callers may read slowly.
 void set_accepted_options(tcp::socket& socket);
 
-/// Sets up a connection that this node opened. One on which the other side's
-/// system is silent for `silence`, to what was sent or to probes while nothing
-/// is, is ended with a time-out. Probes go out in whole seconds: an idle one
-/// may last up to two seconds longer.
+/// Sets the options of a connection that this node opened: TCP_NODELAY,
+/// keep-alive probes every second, and a TCP user timeout. The connection fails
+/// with a timeout if the remote host acknowledges neither data nor probes for
+/// `silence`. An idle connection may last up to 2 s longer, because probes are
+/// sent at whole seconds.
 void set_opened_options(tcp::socket& socket, std::chrono::milliseconds silence);
 
-/// What `set_opened_options` takes where nothing else is set. Two round trips
-/// of 160 ms with three packets lost in between take less.
+/// Default TCP user timeout of outgoing connections. Two round trips of 160 ms
+/// with three lost packets take less.
 inline constexpr std::chrono::milliseconds usual_silence{2000};
 
-/// Opens `socket` for a connection to `to` from the own address `source_ip`;
-/// an empty one leaves the choice to the system.
+/// Opens `socket` and binds it to `source_ip` for a connection to `to`. Does
+/// nothing if `source_ip` is empty, so that the system selects the address, and
+/// leaves an error to the attempt to connect.
 void open_from(tcp::socket& socket, const tcp::endpoint& to,
                const std::string& source_ip);
 
-/// Opens a listening socket, or tells that the address is taken.
+/// Opens a listening socket. Returns `bad_settings` if the address is in use or
+/// not local.
 result<tcp::acceptor> listen_on(asio::io_context& context,
                                 const std::string& address);
 
--- a/transport/include/trestlepost/transport/http_client.h
+++ b/transport/include/trestlepost/transport/http_client.h
@@ -1,5 +1,6 @@
-// HTTP/1.1 calls to endpoints and peers, over kept connections. A connection
-// whose call timed out, was cancelled or went wrong is closed, never reused.
+// HTTP/1.1 client with connection pooling, for calls to endpoints and other
+// nodes. A connection is closed instead of reused if its call timed out, was
+// cancelled or failed.
 #pragma once
 
 #include <functional>
@@ -14,18 +15,19 @@
 
 struct http_client_options {
   std::chrono::milliseconds connect_timeout{1000};
-  /// A kept connection that is idle for longer is closed.
+  /// A pooled connection that has been idle for longer is not reused.
   std::chrono::milliseconds keep_idle{5000};
-  /// A connection on which the other side's system is silent for so long is
-  /// ended, also while it is kept or an answer is awaited.
+  /// TCP user timeout: a connection fails, also while it is idle or waits for a
+  /// response, if the remote host acknowledges nothing for this long.
   std::chrono::milliseconds silence{usual_silence};
-  std::size_t most_kept = 64;  // for each address
+  std::size_t most_kept = 64;  // connections per address
   std::string source_ip;       // of outgoing connections; empty: any
-  /// Takes an answer without length, which ends with its connection. A reset
-  /// is still an error.
+  /// Accepts a response without length, which ends when the server closes the
+  /// connection. A connection reset is still an error.
   bool accept_unframed = false;
 };
 
+/// Request with its whole body. `Host` and `Content-Length` are added.
 struct http_request {
   std::string method = "POST";
   std::string target;
@@ -33,72 +35,76 @@
   std::string body;
 };
 
-/// Why a call failed before its answer's head arrived.
+/// Reason why a call failed before the head of its response arrived.
 struct call_failure {
   error cause;
-  /// Whether any byte of the request may have reached the other side.
+  /// Whether any byte of the request may have reached the server.
   bool bytes_written = false;
-  /// Nobody listens there.
+  /// Whether the connection was refused, since no process listens there.
   bool refused = false;
 };
 
-/// What became of a connection that was tried.
+/// Outcome of an attempt to connect.
 enum class connect_outcome {
   opened,
-  refused,  // the VM is there, and nobody listens
-  silent    // no word of it in time
+  refused,  // the VM responds, but no process listens on the port
+  silent    // any other failure, such as no response in time
 };
 
 class http_client;
 
-/// One call. `cancel` may be called at any time.
+/// One request and its response. `cancel` may be called at any time.
 class http_call {
  public:
   virtual ~http_call() = default;
 
-  /// Sends the request and reads the answer's head.
+  /// Sends the request and reads the head of the response.
   virtual awaitable<tl::expected<void, call_failure>> send(
       http_request request, monotonic_time deadline) = 0;
 
-  /// Gives the rest of the answer another deadline than its head had.
+  /// Replaces the deadline, for the remainder of the response.
   virtual void set_deadline(monotonic_time deadline) = 0;
 
   virtual unsigned status() const = 0;
+  /// Returns the header's value, or an empty string.
   virtual std::string_view header(std::string_view name) const = 0;
-  /// All headers in the order in which they came.
+  /// Returns all headers in the order of arrival.
   virtual header_list headers() const = 0;
 
-  /// Drops this answer, which belongs to another request, and reads the head
-  /// of the next one on the same connection.
+  /// Discards this response, which belongs to another request, and reads the
+  /// head of the next one on the same connection.
   virtual awaitable<tl::expected<void, call_failure>> next_answer() = 0;
 
-  /// The next piece of the body; empty at its end. An answer that is cut
-  /// short is an error.
+  /// Reads the next piece of the body. Returns an empty string at its end, and
+  /// an error if the response is truncated.
   virtual awaitable<result<std::string>> read_piece() = 0;
 
-  /// Reads the rest of the body, `limit` bytes at most.
+  /// Reads the rest of the body. Cancels the call and returns `too_large` if it
+  /// is longer than `limit` bytes.
   virtual awaitable<result<std::string>> read_rest(std::size_t limit) = 0;
 
+  /// Closes the connection; pending operations fail.
   virtual void cancel() = 0;
 };
 
+/// Makes calls and owns the pool of idle connections.
 class http_client {
  public:
   http_client(asio::io_context& context, http_client_options options);
   ~http_client();
 
-  /// A call to "IP:PORT".
+  /// Creates a call to "IP:PORT".
   std::shared_ptr<http_call> call(const std::string& address);
 
-  /// Opens a connection to "IP:PORT", whatever is kept; what opens is kept for
-  /// the next call.
+  /// Opens a new connection to "IP:PORT", also if the pool has one, and adds it
+  /// to the pool.
   awaitable<connect_outcome> try_connect(std::string address);
 
-  /// Ends the calls whose deadline is over. Their timers do so too, but late by
-  /// the time for which the machine was suspended.
+  /// Cancels the calls whose deadline has passed. Their timers do so as well,
+  /// but after a suspension of the machine they are late by its length.
   void end_overdue(monotonic_time now);
 
-  /// Closes what is kept.
+  /// Closes all idle connections and disables pooling.
   void close();
 
   /// Implementation detail.
--- a/transport/include/trestlepost/transport/http_server.h
+++ b/transport/include/trestlepost/transport/http_server.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server on Beast. One request on a connection at a time.
+// HTTP/1.1 server based on Beast. Each connection serves one request at a time.
 #pragma once
 
 #include <chrono>
@@ -14,9 +14,10 @@
 
 namespace trestlepost::transport {
 
+/// Limits of a server.
 struct http_server_options {
-  std::size_t header_limit = 16UL * 1024;
-  std::size_t body_limit = 8UL * 1024 * 1024;
+  std::size_t header_limit = 16UL * 1024;      // bytes
+  std::size_t body_limit = 8UL * 1024 * 1024;  // bytes
   std::chrono::milliseconds header_timeout{10'000};
   std::chrono::milliseconds body_timeout{30'000};
   std::chrono::milliseconds idle_timeout{60'000};
@@ -24,8 +25,10 @@
   std::size_t most_connections = 20'000;
 };
 
+/// Names and values of headers, in order.
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
+/// Response with its whole body, or the head of a streamed one.
 struct http_answer {
   unsigned status = 200;
   std::string content_type = "application/json";
@@ -33,65 +36,74 @@
   std::string body;
 };
 
-/// One request and its answer. Every call returns false or an error once the
-/// caller is gone.
+/// One request and its response. Operations return false or an error after the
+/// caller has disconnected.
 class http_exchange {
  public:
   virtual ~http_exchange() = default;
 
   virtual std::string_view method() const = 0;
   virtual std::string_view target() const = 0;
-  /// The header's value, or empty.
+  /// Returns the header's value, or an empty string.
   virtual std::string_view header(std::string_view name) const = 0;
-  /// All headers in the order in which they came.
+  /// Returns all headers in the order of arrival.
   virtual header_list headers() const = 0;
 
-  /// Reads the whole body.
+  /// Reads the whole body. Returns an error if it is too large, too slow or
+  /// malformed.
   virtual awaitable<result<std::string>> read_body() = 0;
 
-  /// Sends a whole answer.
+  /// Sends a complete response. Returns false if a response has been started.
   virtual awaitable<bool> respond(http_answer answer) = 0;
 
-  /// Sends an answer in pieces; without `finish_stream` the caller sees a
-  /// broken transfer.
+  /// Starts a response whose body is sent in pieces, in chunked encoding.
+  /// Without `finish_stream` the caller receives an incomplete response.
   virtual awaitable<bool> start_stream(http_answer head) = 0;
-  /// The same for a body of `length` bytes, which the pieces make up.
+  /// Like `start_stream`, but with a Content-Length of `length` bytes, the
+  /// total size of the pieces.
   virtual awaitable<bool> start_sized_stream(http_answer head,
                                              std::size_t length) = 0;
   virtual awaitable<bool> write_piece(std::string piece) = 0;
   virtual awaitable<bool> finish_stream() = 0;
 
-  /// Breaks the connection: the answer is not whole.
+  /// Resets the connection, so that the caller detects an incomplete response.
   virtual void abort() = 0;
 
-  /// Whether any part of an answer was sent.
+  /// Returns whether any part of a response was sent.
   virtual bool answered() const = 0;
+  /// Returns whether the caller has disconnected.
   virtual bool gone() const = 0;
-  /// Calls `action` when the caller leaves before the answer is whole.
+  /// Sets the action to call if the caller disconnects before the response is
+  /// complete; nullptr removes it.
   virtual void on_gone(std::function<void()> action) = 0;
 };
 
+/// Handles the requests of a server.
 class http_handler {
  public:
   virtual ~http_handler() = default;
   virtual awaitable<void> handle(http_exchange& exchange) = 0;
 };
 
+/// Accepts connections and passes requests to the handler.
 class http_server {
  public:
   http_server(asio::io_context& context, http_handler& handler,
               http_server_options options);
   ~http_server();
 
+  /// Starts to accept connections at "IP:PORT".
   result<void> listen(const std::string& address);
-  /// Limits for requests that come from now on.
+  /// Sets the limits for subsequent requests.
   void set_options(const http_server_options& options);
   const http_server_options& options() const;
-  /// Ends each connection after its answer, but goes on taking new ones.
+  /// Closes each connection after its response. New connections are still
+  /// accepted.
   void close_after_answers();
-  /// Takes no new connections, and ends each one after its answer.
+  /// Stops accepting connections, closes idle ones and each other one after its
+  /// response.
   void drain();
-  /// Requests in progress.
+  /// Returns the number of requests in progress.
   std::size_t in_progress() const;
 
   /// Implementation detail.
@@ -101,8 +113,9 @@
   std::shared_ptr<state> state_;
 };
 
-/// The answer for a request that can't be served: problem+json with `kind`,
-/// `ran`, `detail` and `remedy`, and Retry-After when `retry_after` is set.
+/// Makes the response to a request that cannot be served: problem+json
+/// (RFC 9457) with `kind`, `ran`, `detail` and `remedy`, and a Retry-After
+/// header if `retry_after` is positive.
 http_answer problem_answer(unsigned status, const error& cause,
                            std::string_view ran,
                            std::chrono::seconds retry_after);
--- a/transport/include/trestlepost/transport/peer_links.h
+++ b/transport/include/trestlepost/transport/peer_links.h
@@ -1,7 +1,7 @@
-// Messages between nodes: JSON-RPC notifications in frames over persistent
-// connections. Each frame carries a digest keyed with the peers' secret, over
-// a challenge of the receiver and a counter, so that a stranger can neither
-// speak nor replay. Delivery is not guaranteed.
+// Messages between nodes: JSON-RPC notifications in frames over persistent TCP
+// connections. Each frame has an HMAC keyed with the peers' shared secret, over
+// a challenge from the receiver, a counter and the payload, which protects
+// against forgery and replay. Delivery is not guaranteed.
 #pragma once
 
 #include <chrono>
@@ -18,23 +18,26 @@
 
 namespace trestlepost::transport {
 
+/// Limits and timeouts of connections between nodes.
 struct peer_options {
-  std::size_t frame_limit = 64UL * 1024 * 1024;
-  /// The first frame of a connection, before its sender is known.
+  std::size_t frame_limit = 64UL * 1024 * 1024;  // bytes
+  /// Bytes of the first frame, which is read from a peer that is not yet
+  /// authenticated.
   std::size_t first_frame_limit = 4UL * 1024;
-  std::size_t queue_limit = 64UL * 1024 * 1024;  // bytes waiting for one peer
+  std::size_t queue_limit = 64UL * 1024 * 1024;  // bytes per peer
   std::string source_ip;  // of outgoing connections; empty: any
-  /// Until the connection stands, and again until the peer has greeted.
+  /// Limit for establishing the connection, and again for receiving the peer's
+  /// challenge.
   std::chrono::milliseconds connect_timeout{2000};
-  /// A connection on which the peer's system is silent for so long is opened
-  /// anew.
+  /// TCP user timeout: a connection is replaced if the peer's host acknowledges
+  /// nothing for this long.
   std::chrono::milliseconds silence{usual_silence};
-  /// Where this node receives; told to a peer when a connection to it was lost.
-  /// Empty: not told.
+  /// Address at which this node accepts peers. It is sent to a peer after a
+  /// connection to it was lost, unless it is empty.
   std::string own_address;
 };
 
-/// Counters for metrics.
+/// Counters of peer traffic, for metrics.
 struct peer_traffic {
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
@@ -44,8 +47,8 @@
   std::uint64_t strangers_refused = 0;
 };
 
-/// A notification that was written and compressed once, for any number of
-/// peers.
+/// Notification that is serialized and compressed once, then sent to any number
+/// of peers.
 struct packed_notification {
   std::shared_ptr<const std::string> payload;
 };
@@ -53,35 +56,38 @@
 packed_notification pack_notification(const std::string& method,
                                       const json& params);
 
-/// Sends to any number of peers; connects when there is something to send.
+/// Sends notifications to peers. Connects to a peer on its first notification.
 class peer_links {
  public:
   peer_links(asio::io_context& context, std::string secret,
              peer_options options);
   ~peer_links();
 
-  /// Queues a notification for the node at `address`.
+  /// Queues a notification for the node at `address`. Drops it if the queue is
+  /// full.
   void send(const std::string& address, const std::string& method,
             const json& params);
   void send(const std::string& address, const packed_notification& packed);
 
-  /// From now on exactly these peers stay connected though nothing waits for
-  /// them. A first message to another peer goes out two round trips later than
-  /// one to a peer that is connected: 0.32 s between regions.
+  /// Replaces the set of peers to which connections are opened and restored
+  /// even if nothing is queued. The first message to another peer is delayed by
+  /// two round trips, which is 0.32 s between regions.
   void keep_open(std::set<std::string> addresses);
 
-  /// Called when a connection that stood has broken. What was sent over it in
-  /// the last moment, and what waited, may be lost; what is sent from now on
-  /// goes over the next connection.
+  /// Sets the action to call after an established connection is lost. Messages
+  /// that were queued or recently sent may be lost; later ones are sent over
+  /// the next connection.
   void set_on_lost(std::function<void(const std::string& address)> on_lost);
 
-  /// The peer has lost its connection to this node and opened another: this
-  /// node's to it is opened anew too, unless it is younger than the silence by
-  /// which such a loss is noticed. Systems notice a silent connection when they
-  /// send again, with gaps that double, so one side may take 2 s longer.
+  /// Replaces the connection to `address`, after that peer reported that it had
+  /// to reopen its own connection to this node. Without it, this node may
+  /// detect the failure up to 2 s later, since the gaps between TCP
+  /// retransmissions double. Does nothing if the connection is newer than the
+  /// TCP user timeout.
   void renew(const std::string& address);
 
   const peer_traffic& traffic() const;
+  /// Closes all connections and drops what is queued.
   void close();
 
   /// Implementation detail.
@@ -91,7 +97,7 @@
   std::shared_ptr<state> state_;
 };
 
-/// Receives from peers and hands each notification to the dispatcher.
+/// Accepts connections of peers and passes notifications to the dispatcher.
 class peer_server {
  public:
   peer_server(asio::io_context& context, std::string secret,
@@ -99,10 +105,11 @@
               peer_options options);
   ~peer_server();
 
+  /// Starts to accept connections at "IP:PORT".
   result<void> listen(const std::string& address);
 
-  /// Called when the peer that receives at `address` has opened a connection
-  /// because one before it was lost.
+  /// Sets the action to call when the peer that accepts connections at
+  /// `address` has reconnected after it lost a connection to this node.
   void set_on_reopened(
       std::function<void(const std::string& address)> on_reopened);
 
--- a/transport/include/trestlepost/transport/rpc.h
+++ b/transport/include/trestlepost/transport/rpc.h
@@ -1,5 +1,6 @@
-// JSON-RPC 2.0 dispatch, on libjsonrpccpp. Handlers run at once and must not
-// wait: long work is answered "accepted" and asked for again.
+// JSON-RPC 2.0 dispatcher, based on libjsonrpccpp. Handlers run synchronously
+// and must not block: a long operation returns "accepted", and the caller polls
+// for its result.
 #pragma once
 
 #include <functional>
@@ -11,7 +12,7 @@
 
 namespace trestlepost::transport {
 
-/// Who calls, as the transport knows it.
+/// Identity of the caller, as authenticated by the transport.
 struct rpc_context {
   std::string operator_name;
   std::string role;  // "read", "change", "found", or "peer"
@@ -22,6 +23,7 @@
 using rpc_notification =
     std::function<void(const json& params, const rpc_context& caller)>;
 
+/// Calls the handler that is registered for a method or notification.
 class rpc_dispatcher {
  public:
   rpc_dispatcher();
@@ -30,7 +32,8 @@
   void add_method(const std::string& name, rpc_method method);
   void add_notification(const std::string& name, rpc_notification handler);
 
-  /// Handles one request; the answer is empty for a notification.
+  /// Handles one request. Returns the response, or an empty string for a
+  /// notification.
   std::string dispatch(const std::string& request, const rpc_context& caller);
 
  private:
@@ -38,13 +41,13 @@
   std::unique_ptr<implementation> implementation_;
 };
 
-/// Envelopes for the side that asks.
+/// Serializes a request or notification for the calling side.
 std::string make_rpc_request(const std::string& method, const json& params,
                              std::uint64_t id);
 std::string make_rpc_notification(const std::string& method,
                                   const json& params);
 
-/// The result of an answer, or the error that it carries.
+/// Parses a response. Returns its result, or the error that it contains.
 result<json> read_rpc_answer(const std::string& text);
 
 }  // namespace trestlepost::transport
--- a/transport/src/header_lists.h
+++ b/transport/src/header_lists.h
@@ -1,4 +1,4 @@
-// Headers of a Beast message as a list.
+// Conversion of the headers of a Beast message to a `header_list`.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
--- a/transport/src/http_client.cc
+++ b/transport/src/http_client.cc
@@ -25,16 +25,18 @@
 using asio::redirect_error;
 using asio::use_awaitable;
 
+// Maximum size in bytes of one read of a body.
 constexpr std::size_t piece_size = 16UL * 1024;
 constexpr char endpoint_remedy[] =
     "check the endpoint; the request may be sent again when it is repeatable";
 
+/// Connection that is used by a call or idle in the pool.
 struct client_connection {
   explicit client_connection(asio::io_context& context) : stream(context) {}
   beast::tcp_stream stream;
   beast::flat_buffer buffer;
-  /// What is being written; a request is written while its answer is read,
-  /// since an endpoint may answer before it has read a long body.
+  /// Request that is being written. The response is read concurrently, since an
+  /// endpoint may respond before it has read a long body.
   std::string outgoing;
   std::size_t written = 0;
   monotonic_time keep_until;
@@ -44,7 +46,8 @@
 
 using connection_ptr = std::shared_ptr<client_connection>;
 
-/// Writes what the socket takes at once; true unless the connection is broken.
+/// Writes as much of the request as possible without blocking. Returns false if
+/// the connection failed.
 bool write_some(client_connection& it) {
   error_code ec;
   it.stream.socket().non_blocking(true, ec);
@@ -57,8 +60,8 @@
   return !ec || ec == asio::error::would_block;
 }
 
-/// Writes the rest. An error is left to the reading side, which sees it too
-/// and may still find an answer that came before.
+/// Writes the rest of the request. Errors are ignored: the read operation fails
+/// as well, unless a response has already arrived.
 awaitable<void> write_rest(connection_ptr it) {
   error_code ec;
   while (!ec && !it->write_done()) {
@@ -69,7 +72,7 @@
   }
 }
 
-/// The seconds of "Keep-Alive: timeout=N", if any.
+/// Parses the timeout of the header "Keep-Alive: timeout=N".
 std::optional<std::chrono::seconds> keep_alive_seconds(std::string_view text) {
   constexpr std::string_view key = "timeout=";
   const std::size_t at = text.find(key);
@@ -82,8 +85,8 @@
   return std::chrono::seconds(n);
 }
 
-/// A kept connection that the other side has closed, or on which it spoke
-/// unasked, must not carry another request.
+/// Returns whether an idle connection may be reused: the server has not closed
+/// it, and has sent no data without a request.
 bool is_silent(client_connection& it) {
   if (it.buffer.size() != 0) return false;
   char byte = 0;
@@ -100,6 +103,8 @@
   state(asio::io_context& c, http_client_options o)
       : context(c), options(std::move(o)) {}
 
+  /// Removes a reusable connection to `address` from the pool. Returns nullptr
+  /// if there is none.
   connection_ptr take(const std::string& address) {
     std::deque<connection_ptr>& kept = idle[address];
     const monotonic_time now = boot_clock::now();
@@ -112,6 +117,7 @@
     return nullptr;
   }
 
+  /// Adds a connection to the pool for `lifetime`, unless the pool is full.
   void keep(const std::string& address, connection_ptr it,
             std::chrono::milliseconds lifetime) {
     std::deque<connection_ptr>& kept = idle[address];
@@ -128,6 +134,7 @@
   bool closed = false;
 };
 
+/// Call over a connection from the pool of its client.
 class pooled_call final : public http_call {
  public:
   pooled_call(std::shared_ptr<http_client::state> client, std::string address)
@@ -144,7 +151,8 @@
     deadline_ = deadline;
     if (connection_) connection_->stream.expires_at(steady_time(deadline));
   }
-  /// Ends the call when its deadline is over, whatever its timer says.
+  /// Cancels the call if its deadline has passed, even if its timer has not
+  /// expired.
   void end_if_overdue(monotonic_time now);
   unsigned status() const override { return parser_->get().result_int(); }
   std::string_view header(std::string_view name) const override {
@@ -163,9 +171,12 @@
   std::string head_of(const http_request& request) const;
   void start_write(const http_request& request);
   awaitable<tl::expected<void, call_failure>> read_head();
-  /// What a call that ended with `ec` ended by.
+  /// Maps the error of a failed operation to the error kind of the call.
   error_kind kind_of(error_code ec) const;
+  /// Closes the connection and describes the failure.
   call_failure failure(const std::string& what, error_code ec, bool written);
+  /// Returns the connection to the pool after a complete response, if it can be
+  /// reused.
   void finish();
 
   std::shared_ptr<http_client::state> client_;
@@ -210,7 +221,7 @@
   return out;
 }
 
-/// Opens `it`, a connection to `address` that is not open yet.
+/// Connects `it`, which must be closed, to `address`.
 awaitable<error_code> open(http_client::state& client, client_connection& it,
                            const std::string& address,
                            monotonic_time deadline) {
@@ -280,12 +291,12 @@
   co_await http::async_read_header(connection_->stream, connection_->buffer,
                                    *parser_, redirect_error(use_awaitable, ec));
   if (cancelled_ && !ec) ec = asio::error::operation_aborted;
-  if (ec) co_return tl::make_unexpected(failure("no answer from", ec, true));
+  if (ec) co_return tl::make_unexpected(failure("no response from", ec, true));
   const bool delimited = parser_->chunked() || parser_->is_done() ||
                          parser_->content_length().has_value();
   if (!delimited && !client_->options.accept_unframed) {
-    // Its end could not be told from a broken connection.
-    co_return tl::make_unexpected(failure("an answer without length from",
+    // The end of the response would look the same as a lost connection.
+    co_return tl::make_unexpected(failure("a response without length from",
                                           asio::error::no_protocol_option,
                                           true));
   }
@@ -293,7 +304,8 @@
 }
 
 awaitable<tl::expected<void, call_failure>> pooled_call::next_answer() {
-  // `finish` would put the connection back before the right answer came.
+  // Does not use `read_piece`, which would return the connection to the pool at
+  // the end of the discarded response.
   while (connection_ && !cancelled_ && !parser_->is_done()) {
     std::array<char, piece_size> dropped{};
     parser_->get().body().data = dropped.data();
@@ -302,11 +314,12 @@
     co_await http::async_read_some(connection_->stream, connection_->buffer,
                                    *parser_, redirect_error(use_awaitable, ec));
     if (ec == http::error::need_buffer) ec = {};
-    if (ec) co_return tl::make_unexpected(failure("no answer from", ec, true));
+    if (ec)
+      co_return tl::make_unexpected(failure("no response from", ec, true));
   }
   if (!connection_ || cancelled_ || !parser_->get().keep_alive()) {
     co_return tl::make_unexpected(
-        failure("no answer of its own from", asio::error::eof, true));
+        failure("no response to this request from", asio::error::eof, true));
   }
   co_return co_await read_head();
 }
@@ -330,7 +343,7 @@
       connection_.reset();
       co_return fail(
           kind_of(ec),
-          "the answer of " + address_ + " was cut short: " + ec.message(),
+          "the response from " + address_ + " was truncated: " + ec.message(),
           endpoint_remedy);
     }
     piece.resize(piece.size() - parser_->get().body().size);
@@ -341,12 +354,13 @@
 
 void pooled_call::finish() {
   if (!connection_ || cancelled_) return;
-  // A connection that still carries the request can't carry another one.
+  // A connection is not reusable while the request is still being written.
   if (parser_->get().keep_alive() && connection_->write_done()) {
     std::chrono::milliseconds lifetime = client_->options.keep_idle;
     const std::optional<std::chrono::seconds> told =
         keep_alive_seconds(header("Keep-Alive"));
-    // Half of it, so that a request does not cross the other side's close.
+    // Half of the timeout, so that no request is sent while the server closes
+    // the connection.
     if (told) {
       lifetime = std::min(lifetime, std::chrono::milliseconds(*told) / 2);
     }
@@ -365,8 +379,8 @@
     if (out.size() > limit) {
       cancel();
       co_return fail(error_kind::too_large,
-                     "the answer of " + address_ + " is too large",
-                     "ask for less");
+                     "the response from " + address_ + " is too large",
+                     "request a smaller response");
     }
   }
 }
--- a/transport/src/http_server.cc
+++ b/transport/src/http_server.cc
@@ -84,7 +84,7 @@
 
 namespace {
 
-/// One connection; lives as long as its coroutine.
+/// Connection of a caller. It is owned by its coroutines.
 class connection final : public http_exchange,
                          public std::enable_shared_from_this<connection> {
  public:
@@ -93,7 +93,8 @@
 
   beast::tcp_stream& stream() { return stream_; }
 
-  /// Reads the next head; false when the connection ends.
+  /// Reads the head of the next request. Returns false at the end of the
+  /// connection.
   awaitable<bool> read_head();
   bool keeps_alive(bool draining) const {
     return !broken_ && whole_ && parser_->is_done() &&
@@ -128,9 +129,11 @@
   void on_gone(std::function<void()> action) override;
 
  private:
+  /// Responds to a request whose head cannot be read. Always returns false.
   awaitable<bool> refuse_head(error_code ec);
   awaitable<bool> write_stream_head(http::response<http::empty_body> out);
   awaitable<bool> write(asio::const_buffer data);
+  /// Waits until the caller disconnects while the request is in progress.
   awaitable<void> watch(std::uint64_t exchange);
   void break_off();
   void notice_gone();
@@ -140,21 +143,22 @@
   beast::flat_buffer buffer_;
   std::optional<request_parser> parser_;
   std::function<void()> on_gone_;
-  std::uint64_t exchange_ = 0;
+  std::uint64_t exchange_ = 0;  // number of the current request
   bool watching_ = false;
   bool started_ = false;
   bool whole_ = false;
-  bool chunked_ = false;  // the stream that is being sent
+  bool chunked_ = false;  // the streamed response uses chunked encoding
   bool broken_ = false;
   bool gone_ = false;
   bool draining_ = false;
-  bool first_ = true;
+  bool first_ = true;  // no request has been read yet
 };
 
 void connection::break_off() {
   broken_ = true;
   error_code ec;
-  // A reset, so that a half-sent answer can't be taken for a whole one.
+  // Sends a TCP reset, so that a partial response cannot be mistaken for a
+  // complete one.
   stream_.socket().set_option(asio::socket_base::linger(true, 0), ec);
   stream_.socket().close(ec);
 }
@@ -191,7 +195,7 @@
   char byte = 0;
   const ssize_t n = ::recv(stream_.socket().native_handle(), &byte, 1,
                            MSG_PEEK | MSG_DONTWAIT);
-  // More data is a next request, which has to wait.
+  // Data is the next request, which is read after the current one.
   if (n > 0) co_return;
   notice_gone();
 }
@@ -239,7 +243,7 @@
   const bool silent =
       ec == http::error::end_of_stream || ec == asio::error::connection_reset ||
       ec == asio::error::eof || ec == asio::error::bad_descriptor ||
-      // The stream has closed its socket already.
+      // After a timeout the stream has already closed its socket.
       ec == beast::error::timeout;
   if (silent) co_return false;
   unsigned status = 400;
@@ -282,10 +286,10 @@
                    "send a smaller request");
   }
   if (ec == beast::error::timeout) {
-    // The stream closes its socket on a time-out: nobody is left to answer.
+    // On a timeout the stream closes its socket, so no response can be sent.
     broken_ = true;
-    co_return fail(error_kind::deadline, "the body came too slowly",
-                   "send the body without pauses");
+    co_return fail(error_kind::deadline, "the body was not received in time",
+                   "send the body faster, without pauses");
   }
   co_return fail(error_kind::bad_input, "the body: " + ec.message(),
                  "send as many bytes as Content-Length says, or well-formed "
--- a/transport/src/peer_frame.h
+++ b/transport/src/peer_frame.h
@@ -1,4 +1,6 @@
-// The frame format that peers share; not installed.
+// Frame format of connections between nodes. A frame is the length of its
+// payload (4 bytes, big-endian), an HMAC and the payload. Private to this
+// package.
 #pragma once
 
 #include <array>
@@ -15,9 +17,10 @@
 inline constexpr std::size_t length_size = 4;
 inline constexpr std::size_t frame_head_size = length_size + digest_size;
 
-/// Sent first on each connection, before any other message.
+/// Method of the first notification on each connection.
 inline constexpr char hello_method[] = "hello";
 
+/// Concatenates the data that a frame's HMAC covers.
 inline std::string counted(std::string_view challenge, std::uint64_t counter,
                            std::string_view payload) {
   std::string out(challenge);
@@ -28,6 +31,7 @@
   return out;
 }
 
+/// Returns the HMAC of the frame with number `counter` on a connection.
 inline digest frame_digest(std::string_view secret, std::string_view challenge,
                            std::uint64_t counter, std::string_view payload) {
   return keyed_digest(secret, counted(challenge, counter, payload));
--- a/transport/src/peer_links.cc
+++ b/transport/src/peer_links.cc
@@ -23,11 +23,11 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds write_timeout{10'000};
-// Between two attempts to connect: messages come every 150 ms or so while a
-// node starts, and what waits is dropped at each attempt that fails.
+// Delay between two attempts to connect. While a node starts, messages are sent
+// about every 150 ms, and each failed attempt drops what is queued.
 constexpr milliseconds reconnect_delay{100};
 
-/// The connection to one peer and what waits for it.
+/// Connection to a peer and the queue of its messages.
 struct link {
   link(asio::io_context& context, std::string to)
       : address(std::move(to)), stream(context), wake(context) {}
@@ -40,8 +40,8 @@
   std::string challenge;
   std::uint64_t counter = 0;
   bool closed = false;
-  bool lost_before = false;  // a connection to this peer
-  bool renews = false;       // the one that stands is to be replaced
+  bool lost_before = false;  // a connection to this peer was lost
+  bool renews = false;       // the current connection is to be replaced
   monotonic_time opened_at{};
 };
 
@@ -64,6 +64,7 @@
 
 using links_state = std::shared_ptr<peer_links::state>;
 
+/// Connects and reads the peer's challenge.
 awaitable<bool> connect(const peer_links::state& all, link& to) {
   const result<tcp::endpoint> at = parse_address(to.address);
   if (!at) co_return false;
@@ -74,7 +75,7 @@
   co_await to.stream.async_connect(*at, redirect_error(use_awaitable, ec));
   if (ec) co_return false;
   set_opened_options(to.stream.socket(), all.options.silence);
-  // The greeting comes a second round trip later.
+  // The challenge arrives after a second round trip.
   to.stream.expires_after(all.options.connect_timeout);
   to.challenge.assign(detail::challenge_size, '\0');
   co_await asio::async_read(to.stream, asio::buffer(to.challenge),
@@ -83,6 +84,7 @@
   co_return !ec;
 }
 
+/// Sends one frame. Returns false if the connection failed.
 awaitable<bool> write(peer_links::state& all, link& to, std::string_view text) {
   const std::string frame =
       detail::encode_frame(all.secret, to.challenge, to.counter++, text);
@@ -102,7 +104,7 @@
   return make_rpc_notification(detail::hello_method, params);
 }
 
-/// Sends what is queued until the connection breaks or is to be replaced.
+/// Sends queued messages until the connection fails or is to be replaced.
 awaitable<void> send_queue(peer_links::state& all, link& to) {
   to.renews = false;
   to.opened_at = boot_clock::now();
@@ -122,12 +124,13 @@
   }
 }
 
+/// Connects, sends and reconnects until the link is closed.
 awaitable<void> run_link(links_state all, std::shared_ptr<link> to) {
   while (!to->closed) {
     const bool connected = co_await connect(*all, *to);
     if (connected) co_await send_queue(*all, *to);
     if (to->closed) co_return;
-    // What waited is stale by the time of the next connection.
+    // Queued messages would be outdated when the next connection is open.
     all->traffic.messages_dropped += to->queue.size();
     to->queue.clear();
     to->queued_bytes = 0;
@@ -159,6 +162,7 @@
 
 namespace {
 
+/// Returns the link to `address`. Creates and starts it if necessary.
 std::shared_ptr<link> link_to(const links_state& all,
                               const std::string& address) {
   std::shared_ptr<link>& to = all->links[address];
--- a/transport/src/peer_server.cc
+++ b/transport/src/peer_server.cc
@@ -1,3 +1,4 @@
+// Server side of the connections between nodes, which peer_links.h declares.
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/read.hpp>
@@ -21,7 +22,7 @@
 using asio::redirect_error;
 using asio::use_awaitable;
 
-// A stranger has this long to prove himself.
+// Limit for the first frame, which authenticates the peer.
 constexpr std::chrono::milliseconds first_frame_timeout{5000};
 
 }  // namespace
@@ -60,7 +61,9 @@
   return out;
 }
 
-/// Reads one frame; nothing when the connection ends or the digest is wrong.
+/// Reads one frame and returns its payload. Returns nullopt if the connection
+/// ends, or if the frame is too large, has an invalid digest or cannot be
+/// decompressed.
 awaitable<std::optional<std::string>> read_frame(
     server_state server, boost::beast::tcp_stream& stream,
     const std::string& challenge, std::uint64_t counter) {
@@ -89,7 +92,7 @@
   if (!same_digest(given, expected)) {
     ++server->traffic.strangers_refused;
     log_event(log_level::warn, "peer-refused",
-              {{"detail", "a frame's digest is wrong"}});
+              {{"detail", "a frame has an invalid digest"}});
     co_return std::nullopt;
   }
   server->traffic.bytes_received += head.size() + size;
@@ -100,6 +103,7 @@
   co_return text;
 }
 
+/// Sends the challenge, then receives frames until the connection ends.
 awaitable<void> serve(server_state server, tcp::socket socket) {
   boost::beast::tcp_stream stream(std::move(socket));
   server->open.insert(&stream);
--- a/transport/src/rpc.cc
+++ b/transport/src/rpc.cc
@@ -12,7 +12,8 @@
 namespace trestlepost::transport {
 namespace {
 
-// Application errors, in the range that JSON-RPC leaves to servers.
+// Code of all application errors, from the range that JSON-RPC reserves for
+// servers.
 constexpr int application_error = -32000;
 
 }  // namespace
@@ -144,7 +145,8 @@
     const json& data = member_of(failed, "data");
     const std::string kind = text_of(data, "kind");
     std::string remedy = text_of(data, "remedy");
-    if (remedy.empty()) remedy = "use one version of trestlepost throughout";
+    if (remedy.empty())
+      remedy = "run the same version of trestlepost on all nodes";
     return fail(kind.empty() ? error_kind::bad_input : error_kind_from(kind),
                 text_of(failed, "message"), std::move(remedy));
   }
--- a/transport/src/socket_options.cc
+++ b/transport/src/socket_options.cc
@@ -1,3 +1,4 @@
+// Address parsing and socket options that asio.h declares.
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -9,9 +10,10 @@
 namespace trestlepost::transport {
 namespace {
 
-// Unacknowledged data for so long means that the peer or the link is gone.
+// TCP user timeout of accepted connections in milliseconds. Data that is
+// unacknowledged for longer means that the host or the network has failed.
 constexpr int unacknowledged_ms = 5000;
-// Until an idle connection is probed, and between probes.
+// Idle time in seconds before the first keep-alive probe, and between probes.
 constexpr int probe_seconds = 1;
 
 void set_no_delay(tcp::socket& socket) {
@@ -65,7 +67,8 @@
   const asio::ip::address ip = asio::ip::make_address(source_ip, ec);
   if (!ec) socket.open(to.protocol(), ec);
   if (ec) return;
-  // The port is chosen on connecting, so that many peers share one.
+  // The system selects the port on connect instead of bind, so that connections
+  // to different peers can share a port.
   const int on = 1;
   ::setsockopt(socket.native_handle(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &on,
                sizeof on);
@@ -83,9 +86,10 @@
   if (!ec) out.bind(*at, ec);
   if (!ec) out.listen(asio::socket_base::max_listen_connections, ec);
   if (ec) {
-    return fail(error_kind::bad_settings,
-                "cannot listen on " + address + ": " + ec.message(),
-                "stop what uses the address, or set another one");
+    return fail(
+        error_kind::bad_settings,
+        "cannot listen on " + address + ": " + ec.message(),
+        "stop the process that uses the address, or set another address");
   }
   return out;
 }
--- a/transport/src/steady_time.cc
+++ b/transport/src/steady_time.cc
@@ -1,3 +1,4 @@
+// Conversion between the clocks that asio.h declares.
 #include "trestlepost/transport/asio.h"
 
 namespace trestlepost::transport {
--- a/transport/test/http-test.cc
+++ b/transport/test/http-test.cc
@@ -1,3 +1,5 @@
+// Tests the HTTP client against the HTTP server, and the server against
+// malformed requests.
 #include <gtest/gtest.h>
 #include <netinet/tcp.h>
 
@@ -15,7 +17,8 @@
 
 const std::string address = own_ip() + ":7802";
 
-/// Answers by path.
+/// Streams for /stream, aborts a stream for /cut, and echoes the body
+/// otherwise.
 class test_handler final : public http_handler {
  public:
   awaitable<void> handle(http_exchange& exchange) override {
@@ -73,7 +76,7 @@
     return done();
   }
 
-  /// The body of the answer, or "error".
+  /// Returns the body of the response, or "error".
   std::string get(const std::string& target, const std::string& body = "") {
     std::optional<std::string> out;
     const auto task = [&]() -> awaitable<void> {
@@ -95,7 +98,8 @@
     return out.value_or("none");
   }
 
-  /// What the server answers to raw bytes, until it closes or falls silent.
+  /// Sends raw bytes and returns the response, with "(open)" if the server does
+  /// not close the connection within the time limit.
   std::string raw(const std::string& bytes) {
     tcp::socket socket(context_);
     socket.connect(*parse_address(address));
@@ -204,7 +208,7 @@
   EXPECT_FALSE(failed->bytes_written);
 }
 
-/// The value of a TCP option of `socket`.
+/// Returns the value of a TCP option.
 int tcp_option(tcp::socket& socket, int option) {
   int value = 0;
   socklen_t size = sizeof value;
@@ -212,8 +216,8 @@
   return value;
 }
 
-// That the system then ends the connection is not shown here: loopback always
-// answers.
+// Checks only the options. That the system closes the connection cannot be
+// tested on loopback, which always acknowledges.
 TEST(socket_options_test, an_opened_connection_is_watched_for_silence) {
   asio::io_context io;
   tcp::socket socket(io);
--- a/transport/test/own_ip.h
+++ b/transport/test/own_ip.h
@@ -1,4 +1,4 @@
-// An IP number for the tests of one process.
+// Loopback address for the tests of one process.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +7,8 @@
 
 namespace trestlepost::transport {
 
-/// On loopback; another process that runs meanwhile gets another one.
+/// Returns an address in 127.99.0.0/16 that depends on the process id, so that
+/// test programs can run in parallel.
 inline std::string own_ip() {
   constexpr int numbers = 250;
   const int id = ::getpid();
--- a/transport/test/peer-test.cc
+++ b/transport/test/peer-test.cc
@@ -1,3 +1,5 @@
+// Tests peer connections: delivery, reconnection, authentication and malformed
+// frames.
 #include <gtest/gtest.h>
 
 #include <boost/asio/buffer.hpp>
@@ -25,7 +27,8 @@
     EXPECT_TRUE(server_.listen(address));
   }
 
-  /// Runs the loop until `done` holds, a bounded number of turns.
+  /// Runs the event loop until `done` returns true, for at most 5000
+  /// iterations.
   template <typename Condition>
   bool run_until(Condition done) {
     for (int i = 0; i < 5000 && !done(); ++i) {
@@ -42,6 +45,7 @@
   std::vector<int> received_;
 };
 
+/// Makes the parameters of the notification "count".
 json numbered(int n) {
   json out;
   out["n"] = n;
@@ -58,7 +62,7 @@
 TEST_F(peer_test, a_kept_peer_is_connected_before_anything_is_sent) {
   peer_links links(context_, secret, {});
   links.keep_open({address});
-  // The greeting counts as a message.
+  // The first notification, "hello", is counted as a message.
   EXPECT_TRUE(
       run_until([&links] { return links.traffic().messages_sent == 1; }));
 }
@@ -90,7 +94,8 @@
   server = std::make_unique<peer_server>(context_, secret, dispatcher_, random_,
                                          peer_options());
   ASSERT_TRUE(server->listen(other));
-  // The system of a peer that is gone answers the first write with a reset.
+  // The first write to the closed connection only triggers a TCP reset, so a
+  // second one may be necessary to detect the loss.
   links.send(other, "none", numbered(0));
   run_until(
       [&lost, turns = 0]() mutable { return !lost.empty() || ++turns > 50; });
@@ -120,7 +125,7 @@
   const monotonic_time old_enough = boot_clock::now() + silence;
   ASSERT_TRUE(
       run_until([old_enough] { return boot_clock::now() > old_enough; }));
-  // The other node, which is reached at `address`, loses its connection.
+  // Simulates the node at `address`, which loses its connection to this one.
   peer_options others;
   others.own_address = address;
   peer_links back(context_, secret, others);
