--- a/base/include/trestlepost/base/hash.h
+++ b/base/include/trestlepost/base/hash.h
@@ -16,13 +16,13 @@
 std::string sha256_hex(std::string_view data);
 
 /// Output of a 256-bit cryptographic hash.
-using digest = std::array<unsigned char, 32>;
+using sha256_digest = std::array<unsigned char, 32>;
 
 /// Returns HMAC-SHA-256 of `data`.
-digest keyed_digest(std::string_view key, std::string_view data);
+sha256_digest hmac_sha256(std::string_view key, std::string_view data);
 
 /// Compares in constant time, so that timing does not reveal the digest.
-bool same_digest(const digest& a, const digest& b);
+bool equal_digests(const sha256_digest& a, const sha256_digest& b);
 
 /// Returns the score of `member` for `key` in rendezvous hashing: the member
 /// with the highest score is selected.
--- a/base/include/trestlepost/base/log.h
+++ b/base/include/trestlepost/base/log.h
@@ -16,11 +16,11 @@
 };
 
 /// Starts logging to `file`, or to standard output if `file` is empty. Every
-/// line contains `node` and `region`. Events below `lowest` are not logged.
+/// line contains `node` and `region`. Events below `min_level` are not logged.
 void start_log(const std::string& node, const std::string& region,
-               log_level lowest, const std::string& file);
+               log_level min_level, const std::string& file);
 
-void set_log_level(log_level lowest);
+void set_log_level(log_level min_level);
 
 /// Logs one event. `event` is a stable name in kebab case. Each name has a rate
 /// limit; the next line that is written reports how many were dropped. Writing
--- a/base/include/trestlepost/base/log_writer.h
+++ b/base/include/trestlepost/base/log_writer.h
@@ -29,17 +29,17 @@
   /// Writes as much of the buffer as possible without blocking.
   void flush();
 
-  std::uint64_t lines_left_out() const { return left_out_; }
+  std::uint64_t lines_dropped() const { return dropped_; }
 
  private:
-  bool may_write() const;
+  bool is_writable() const;
 
   int fd_;
   std::size_t capacity_;
-  std::deque<std::string> waiting_;
-  std::size_t waiting_bytes_ = 0;
-  std::size_t written_of_first_ = 0;
-  std::uint64_t left_out_ = 0;
+  std::deque<std::string> queue_;
+  std::size_t queued_bytes_ = 0;
+  std::size_t front_written_ = 0;
+  std::uint64_t dropped_ = 0;
 };
 
 /// Token bucket for each event name, which limits its rate of log lines.
@@ -52,19 +52,19 @@
 
   explicit log_rate_limiter(options limits) : limits_(limits) {}
 
-  struct verdict {
+  struct decision {
     bool write = true;
     /// Lines of this event dropped since the last one that was written.
-    std::uint64_t left_out_before = 0;
+    std::uint64_t dropped_before = 0;
   };
   /// Decides whether the event may be written at `now`, and counts it if not.
-  verdict ask(std::string_view event, monotonic_time now);
+  decision admit(std::string_view event, monotonic_time now);
 
  private:
   struct bucket {
     double tokens = 0;
     monotonic_time at;
-    std::uint64_t left_out = 0;
+    std::uint64_t dropped = 0;
   };
 
   options limits_;
--- a/base/include/trestlepost/base/object_reader.h
+++ b/base/include/trestlepost/base/object_reader.h
@@ -96,7 +96,7 @@
 
  private:
   const json* find(const char* key, bool required);
-  void wrong_type(const json& value, const char* key, const char* expected);
+  void add_type_error(const json& value, const char* key, const char* expected);
 
   const json& value_;
   std::string path_;
--- a/base/src/base64.cc
+++ b/base/src/base64.cc
@@ -5,13 +5,14 @@
 namespace trestlepost {
 namespace {
 
-constexpr std::size_t base64_chars = 4;
-constexpr std::size_t base64_bytes = 3;
+constexpr std::size_t chars_per_group = 4;
+constexpr std::size_t bytes_per_group = 3;
 
 }  // namespace
 
 std::string to_base64(std::string_view data) {
-  std::string out(base64_chars * (data.size() / base64_bytes + 1) + 1, '\0');
+  std::string out(chars_per_group * (data.size() / bytes_per_group + 1) + 1,
+                  '\0');
   const int n =
       EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
                       reinterpret_cast<const unsigned char*>(data.data()),
@@ -21,8 +22,8 @@
 }
 
 std::optional<std::string> from_base64(std::string_view text) {
-  if (text.empty() || text.size() % base64_chars != 0) return std::nullopt;
-  std::string out(text.size() / base64_chars * base64_bytes, '\0');
+  if (text.empty() || text.size() % chars_per_group != 0) return std::nullopt;
+  std::string out(text.size() / chars_per_group * bytes_per_group, '\0');
   const int n =
       EVP_DecodeBlock(reinterpret_cast<unsigned char*>(out.data()),
                       reinterpret_cast<const unsigned char*>(text.data()),
--- a/base/src/compression.cc
+++ b/base/src/compression.cc
@@ -16,7 +16,7 @@
 constexpr std::size_t size_bytes = 4;
 constexpr std::size_t head_size = 1 + size_bytes;
 // Size in bytes below which compression saves too little for its cost.
-constexpr std::size_t least_compressed = 256;
+constexpr std::size_t min_compressed_bytes = 256;
 // Fastest compression level of zlib.
 constexpr int fast_level = 1;
 
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-std::string pack(std::string_view text) {
-  if (text.size() < least_compressed) return std::string(text);
+std::string compress_text(std::string_view text) {
+  if (text.size() < min_compressed_bytes) return std::string(text);
   std::string out(1, compressed_mark);
   append_size(out, text.size());
   uLongf length = compressBound(static_cast<uLong>(text.size()));
@@ -57,7 +57,8 @@
   return out;
 }
 
-std::optional<std::string> unpack(std::string payload, std::size_t limit) {
+std::optional<std::string> decompress_text(std::string payload,
+                                           std::size_t limit) {
   if (payload.empty() || payload.front() != compressed_mark) return payload;
   if (payload.size() < head_size) return std::nullopt;
   const std::size_t size = read_size(payload);
@@ -72,20 +73,20 @@
   return out;
 }
 
-std::string pack_printable(std::string_view text) {
-  std::string packed = pack(text);
-  if (packed.size() == text.size()) return packed;
-  return printable_mark + to_base64(packed);
+std::string compress_printable(std::string_view text) {
+  std::string compressed = compress_text(text);
+  if (compressed.size() == text.size()) return compressed;
+  return printable_mark + to_base64(compressed);
 }
 
-std::optional<std::string> unpack_printable(std::string_view packed,
-                                            std::size_t limit) {
-  if (packed.empty() || packed.front() != printable_mark) {
-    return std::string(packed);
+std::optional<std::string> decompress_printable(std::string_view encoded,
+                                                std::size_t limit) {
+  if (encoded.empty() || encoded.front() != printable_mark) {
+    return std::string(encoded);
   }
-  std::optional<std::string> payload = from_base64(packed.substr(1));
+  std::optional<std::string> payload = from_base64(encoded.substr(1));
   if (!payload) return std::nullopt;
-  return unpack(std::move(*payload), limit);
+  return decompress_text(std::move(*payload), limit);
 }
 
 }  // namespace trestlepost
--- a/base/src/hash.cc
+++ b/base/src/hash.cc
@@ -26,14 +26,14 @@
 }
 
 std::string sha256_hex(std::string_view data) {
-  digest out{};
+  sha256_digest out{};
   SHA256(reinterpret_cast<const unsigned char*>(data.data()), data.size(),
          out.data());
   return to_hex(out.data(), out.size());
 }
 
-digest keyed_digest(std::string_view key, std::string_view data) {
-  digest out{};
+sha256_digest hmac_sha256(std::string_view key, std::string_view data) {
+  sha256_digest out{};
   unsigned n = 0;
   HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
        reinterpret_cast<const unsigned char*>(data.data()), data.size(),
@@ -41,7 +41,7 @@
   return out;
 }
 
-bool same_digest(const digest& a, const digest& b) {
+bool equal_digests(const sha256_digest& a, const sha256_digest& b) {
   return CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
--- a/base/src/json_elements.cc
+++ b/base/src/json_elements.cc
@@ -11,10 +11,10 @@
 
 // Maximum size of an element in bytes. Limits the search for the end of an
 // object that is not terminated.
-constexpr std::size_t largest_element = 16UL * 1024;
+constexpr std::size_t max_element_bytes = 16UL * 1024;
 // Maximum number of unreadable objects before the whole document is rejected,
-// since each costs a scan of up to `largest_element` bytes.
-constexpr std::size_t most_unreadable = 256;
+// since each costs a scan of up to `max_element_bytes` bytes.
+constexpr std::size_t max_unreadable_places = 256;
 
 constexpr std::string_view blanks = " \t\r\n";
 
@@ -25,7 +25,7 @@
 /// Returns the offset after the object that starts at `begin`, or npos if its
 /// end is missing or too far away.
 std::size_t end_of_object(std::string_view text, std::size_t begin) {
-  const std::size_t last = std::min(text.size(), begin + largest_element);
+  const std::size_t last = std::min(text.size(), begin + max_element_bytes);
   std::size_t depth = 0;
   bool quoted = false;
   for (std::size_t i = begin; i < last; ++i) {
@@ -44,7 +44,8 @@
 
 /// Returns whether the text from `begin` to `end` has array punctuation on both
 /// sides: a comma, or the opening or closing bracket.
-bool is_divided(std::string_view text, std::size_t begin, std::size_t end) {
+bool has_array_punctuation(std::string_view text, std::size_t begin,
+                           std::size_t end) {
   const std::size_t next = text.find_first_not_of(blanks, end);
   const std::size_t last = text.substr(0, begin).find_last_not_of(blanks);
   if (next == std::string_view::npos || last == std::string_view::npos) {
@@ -61,15 +62,16 @@
 };
 /// Returns the object at `begin` if it is an element of the array.
 std::optional<found_element> element_at(std::string_view text,
-                                        std::size_t begin, const char* mark) {
+                                        std::size_t begin, const char* id_key) {
   const std::size_t end = end_of_object(text, begin);
-  if (end == std::string_view::npos || !is_divided(text, begin, end)) {
+  if (end == std::string_view::npos ||
+      !has_array_punctuation(text, begin, end)) {
     return std::nullopt;
   }
-  const std::string_view own = text.substr(begin, end - begin);
-  if (!is_utf8(own)) return std::nullopt;
-  result<json> value = parse_json(own);
-  if (!value || !value->isMember(mark)) return std::nullopt;
+  const std::string_view candidate = text.substr(begin, end - begin);
+  if (!is_utf8(candidate)) return std::nullopt;
+  result<json> value = parse_json(candidate);
+  if (!value || !value->isMember(id_key)) return std::nullopt;
   return found_element{std::move(*value), end};
 }
 
@@ -89,29 +91,30 @@
 }
 
 /// Finds the readable elements of a malformed document.
-result<json_elements> search(std::string_view text, const char* list,
-                             const char* mark) {
+result<json_elements> find_readable_elements(std::string_view text,
+                                             const char* list,
+                                             const char* id_key) {
   std::size_t at = begin_of_list(text, list);
   if (at == std::string_view::npos) return unreadable("there is no list");
   json_elements out;
   std::size_t unreadable_places = 0;
-  bool in_unreadable = false;
+  bool after_unreadable = false;
   while ((at = text.find('{', at)) != std::string_view::npos) {
-    std::optional<found_element> found = element_at(text, at, mark);
+    std::optional<found_element> found = element_at(text, at, id_key);
     if (found) {
       out.items.emplace_back(std::move(found->value));
       at = found->end;
-      in_unreadable = false;
+      after_unreadable = false;
       continue;
     }
-    if (++unreadable_places > most_unreadable) {
+    if (++unreadable_places > max_unreadable_places) {
       return unreadable("most of the list is unreadable");
     }
     // Adjacent unreadable objects, which may be nested, are reported as one.
-    if (!in_unreadable) {
+    if (!after_unreadable) {
       out.items.emplace_back(unreadable("it is not JSON in UTF-8"));
     }
-    in_unreadable = true;
+    after_unreadable = true;
     ++at;
   }
   return out;
@@ -120,28 +123,28 @@
 }  // namespace
 
 result<json_elements> read_elements(std::string_view text, const char* list,
-                                    const char* mark) {
+                                    const char* id_key) {
   result<json> document = is_utf8(text) ? parse_json(text) : unreadable("");
-  if (!document) return search(text, list, mark);
+  if (!document) return find_readable_elements(text, list, id_key);
   if (!member_of(*document, list).isArray()) {
     return unreadable("there is no list");
   }
   json_elements out;
-  out.whole = true;
+  out.well_formed = true;
   json all;
   document->removeMember(list, &all);
   for (json& it : all) out.items.emplace_back(std::move(it));
-  out.rest = std::move(*document);
+  out.other_members = std::move(*document);
   return out;
 }
 
-result<json> find_text_member(std::string_view text, std::string_view key) {
+result<json> find_string_member(std::string_view text, std::string_view key) {
   const std::string quoted = "\"" + std::string(key) + "\"";
   const std::size_t named = text.rfind(quoted);
   if (named == std::string_view::npos) {
     return unreadable("there is no " + std::string(key));
   }
-  const std::string_view tail = text.substr(named, largest_element);
+  const std::string_view tail = text.substr(named, max_element_bytes);
   std::size_t end = tail.find_first_of(",}", quoted.size());
   if (end == std::string_view::npos) end = tail.size();
   std::string member = "{";
--- a/base/src/log.cc
+++ b/base/src/log.cc
@@ -55,7 +55,7 @@
 constexpr log_rate_limiter::options rate_limits{100, 300};
 // Maximum size of a field's value in bytes. The remainder of a longer value
 // rarely helps the reader and fills the log.
-constexpr std::size_t longest_value = 512;
+constexpr std::size_t max_value_bytes = 512;
 
 log4cxx::LevelPtr level_of(log_level level) {
   switch (level) {
@@ -80,7 +80,7 @@
 }  // namespace
 
 void start_log(const std::string& node, const std::string& region,
-               log_level lowest, const std::string& file) {
+               log_level min_level, const std::string& file) {
   const std::shared_ptr<log4cxx::JSONLayout> layout =
       std::make_shared<log4cxx::JSONLayout>();
   layout->setLocationInfo(false);
@@ -94,7 +94,7 @@
   logger()->removeAllAppenders();
   logger()->setAdditivity(false);
   logger()->addAppender(appender);
-  logger()->setLevel(level_of(lowest));
+  logger()->setLevel(level_of(min_level));
   log4cxx::MDC::put("node", node);
   log4cxx::MDC::put("region", region);
 }
@@ -104,25 +104,25 @@
   const log4cxx::LevelPtr target = level_of(level);
   if (!logger()->isEnabledFor(target)) return;
   static log_rate_limiter limiter(rate_limits);
-  const log_rate_limiter::verdict verdict =
-      limiter.ask(event, boot_clock::now());
-  if (!verdict.write) return;
-  if (verdict.left_out_before > 0) {
+  const log_rate_limiter::decision decision =
+      limiter.admit(event, boot_clock::now());
+  if (!decision.write) return;
+  if (decision.dropped_before > 0) {
     log4cxx::MDC::put("lines_left_out_before",
-                      std::to_string(verdict.left_out_before));
+                      std::to_string(decision.dropped_before));
   }
   for (const log_field& it : fields) {
-    log4cxx::MDC::put(it.name, it.value.substr(0, longest_value));
+    log4cxx::MDC::put(it.name, it.value.substr(0, max_value_bytes));
   }
   logger()->forcedLog(target, std::string(event));
   for (const log_field& it : fields) log4cxx::MDC::remove(it.name);
-  if (verdict.left_out_before > 0) {
+  if (decision.dropped_before > 0) {
     log4cxx::MDC::remove("lines_left_out_before");
   }
 }
 
-void set_log_level(log_level lowest) {
-  logger()->setLevel(level_of(lowest));
+void set_log_level(log_level min_level) {
+  logger()->setLevel(level_of(min_level));
 }
 
 }  // namespace trestlepost
--- a/base/src/log_writer.cc
+++ b/base/src/log_writer.cc
@@ -8,40 +8,40 @@
 
 namespace trestlepost {
 
-bool log_writer::may_write() const {
+bool log_writer::is_writable() const {
   pollfd one{fd_, POLLOUT, 0};
   return ::poll(&one, 1, 0) > 0 && (one.revents & POLLOUT) != 0;
 }
 
 void log_writer::push(std::string line) {
-  if (waiting_bytes_ + line.size() > capacity_) flush();
-  if (waiting_bytes_ + line.size() > capacity_) {
-    ++left_out_;
+  if (queued_bytes_ + line.size() > capacity_) flush();
+  if (queued_bytes_ + line.size() > capacity_) {
+    ++dropped_;
     return;
   }
-  waiting_bytes_ += line.size();
-  waiting_.push_back(std::move(line));
+  queued_bytes_ += line.size();
+  queue_.push_back(std::move(line));
   flush();
 }
 
 void log_writer::flush() {
-  while (!waiting_.empty() && may_write()) {
-    const std::string& line = waiting_.front();
+  while (!queue_.empty() && is_writable()) {
+    const std::string& line = queue_.front();
     // A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
     const std::size_t n =
-        std::min<std::size_t>(line.size() - written_of_first_, PIPE_BUF);
-    const ssize_t written = ::write(fd_, line.data() + written_of_first_, n);
+        std::min<std::size_t>(line.size() - front_written_, PIPE_BUF);
+    const ssize_t written = ::write(fd_, line.data() + front_written_, n);
     if (written <= 0) return;
-    written_of_first_ += static_cast<std::size_t>(written);
-    if (written_of_first_ < line.size()) continue;
-    waiting_bytes_ -= line.size();
-    waiting_.pop_front();
-    written_of_first_ = 0;
+    front_written_ += static_cast<std::size_t>(written);
+    if (front_written_ < line.size()) continue;
+    queued_bytes_ -= line.size();
+    queue_.pop_front();
+    front_written_ = 0;
   }
 }
 
-log_rate_limiter::verdict log_rate_limiter::ask(std::string_view event,
-                                                monotonic_time now) {
+log_rate_limiter::decision log_rate_limiter::admit(std::string_view event,
+                                                   monotonic_time now) {
   auto it = buckets_.find(event);
   if (it == buckets_.end()) {
     it = buckets_.emplace(std::string(event), bucket{limits_.burst, now, 0})
@@ -53,12 +53,12 @@
                         one.tokens + passed.count() * limits_.lines_per_second);
   one.at = now;
   if (one.tokens < 1) {
-    ++one.left_out;
+    ++one.dropped;
     return {false, 0};
   }
   one.tokens -= 1;
-  const verdict out{true, one.left_out};
-  one.left_out = 0;
+  const decision out{true, one.dropped};
+  one.dropped = 0;
   return out;
 }
 
--- a/base/src/object_reader.cc
+++ b/base/src/object_reader.cc
@@ -89,9 +89,9 @@
   std::string_view unit =
       text.substr(static_cast<std::size_t>(parsed.ptr - text.data()));
   while (!unit.empty() && unit.front() == ' ') unit.remove_prefix(1);
-  constexpr double largest = 1e9;
+  constexpr double max_value = 1e9;
   for (const duration_unit& it : duration_units) {
-    if (it.name != unit || n > largest) continue;
+    if (it.name != unit || n > max_value) continue;
     return milliseconds(std::llround(n * static_cast<double>(it.factor)));
   }
   return std::nullopt;
@@ -131,8 +131,8 @@
   return nullptr;
 }
 
-void object_reader::wrong_type(const json& value, const char* key,
-                               const char* expected) {
+void object_reader::add_type_error(const json& value, const char* key,
+                                   const char* expected) {
   problems_.add(value, path_of(key), std::string(expected) + " is expected",
                 std::string("write ") + expected);
 }
@@ -141,7 +141,7 @@
   const json* value = find(key, true);
   if (value == nullptr) return {};
   if (!value->isString() || value->asString().empty()) {
-    wrong_type(*value, key, "a non-empty string");
+    add_type_error(*value, key, "a non-empty string");
     return {};
   }
   return value->asString();
@@ -152,7 +152,7 @@
   const json* value = find(key, false);
   if (value == nullptr) return fallback;
   if (!value->isString()) {
-    wrong_type(*value, key, "a string");
+    add_type_error(*value, key, "a string");
     return fallback;
   }
   return value->asString();
@@ -162,7 +162,7 @@
   const json* value = find(key, false);
   if (value == nullptr) return fallback;
   if (!value->isBool()) {
-    wrong_type(*value, key, "true or false");
+    add_type_error(*value, key, "true or false");
     return fallback;
   }
   return value->asBool();
@@ -178,7 +178,7 @@
     const std::string expected = "a whole number from " +
                                  std::to_string(lowest) + " to " +
                                  std::to_string(highest);
-    wrong_type(*value, key, expected.c_str());
+    add_type_error(*value, key, expected.c_str());
     return fallback;
   }
   return value->asUInt64();
@@ -189,7 +189,7 @@
   const json* value = find(key, false);
   if (value == nullptr) return fallback;
   if (!value->isNumeric()) {
-    wrong_type(*value, key, "a number");
+    add_type_error(*value, key, "a number");
     return fallback;
   }
   const double n = value->asDouble();
@@ -219,12 +219,12 @@
   const json* value = find(key, false);
   if (value == nullptr) return out;
   if (!value->isArray()) {
-    wrong_type(*value, key, "a list of strings");
+    add_type_error(*value, key, "a list of strings");
     return out;
   }
   for (const json& it : *value) {
     if (!it.isString()) {
-      wrong_type(it, key, "a list of strings");
+      add_type_error(it, key, "a list of strings");
       return {};
     }
     out.push_back(it.asString());
@@ -238,12 +238,12 @@
   const json* value = find(key, false);
   if (value == nullptr) return out;
   if (!value->isObject()) {
-    wrong_type(*value, key, "an object of strings");
+    add_type_error(*value, key, "an object of strings");
     return out;
   }
   for (auto it = value->begin(); it != value->end(); ++it) {
     if (!it->isString()) {
-      wrong_type(*it, key, "an object of strings");
+      add_type_error(*it, key, "an object of strings");
       return {};
     }
     out.emplace(it.name(), it->asString());
@@ -271,7 +271,7 @@
   const json* value = find(key, false);
   if (value == nullptr) return out;
   if (!value->isArray()) {
-    wrong_type(*value, key, "a list of objects");
+    add_type_error(*value, key, "a list of objects");
     return out;
   }
   for (const json& it : *value) out.push_back(it);
--- a/base/src/text_delta.cc
+++ b/base/src/text_delta.cc
@@ -9,12 +9,12 @@
 
 // A delta is "{" followed by any number of instructions: "=OFFSET,LENGTH;"
 // copies from the old text, "+LENGTH;" inserts the LENGTH bytes after it.
-constexpr char delta_mark = '{';
+constexpr char start_mark = '{';
 constexpr char copy_mark = '=';
-constexpr char new_mark = '+';
+constexpr char insert_mark = '+';
 
 /// Splits `text` after each closing brace.
-std::vector<std::string_view> split(std::string_view text) {
+std::vector<std::string_view> split_after_braces(std::string_view text) {
   std::vector<std::string_view> out;
   while (!text.empty()) {
     const std::size_t brace = text.find('}');
@@ -31,7 +31,7 @@
  public:
   void copy(std::size_t offset, std::size_t length) {
     const bool follows =
-        copied_ > 0 && new_.empty() && offset == offset_ + copied_;
+        copied_ > 0 && inserted_.empty() && offset == offset_ + copied_;
     if (!follows) {
       flush();
       offset_ = offset;
@@ -40,7 +40,7 @@
   }
   void add(std::string_view text) {
     if (copied_ > 0) flush();
-    new_ += text;
+    inserted_ += text;
   }
   /// Returns the offset at which a copy would extend the current one.
   std::optional<std::size_t> next_offset() const {
@@ -58,63 +58,64 @@
       out_ += copy_mark + std::to_string(offset_) + ',' +
               std::to_string(copied_) + ';';
     }
-    if (!new_.empty()) {
-      out_ += new_mark + std::to_string(new_.size()) + ';' + new_;
+    if (!inserted_.empty()) {
+      out_ += insert_mark + std::to_string(inserted_.size()) + ';' + inserted_;
     }
     copied_ = 0;
-    new_.clear();
+    inserted_.clear();
   }
 
-  std::string out_{delta_mark};
+  std::string out_{start_mark};
   std::size_t offset_ = 0;
   std::size_t copied_ = 0;
-  std::string new_;
+  std::string inserted_;
 };
 
 /// Reads the tokens of a delta in order.
 class delta_reader {
  public:
-  explicit delta_reader(std::string_view text) : left_(text) {}
+  explicit delta_reader(std::string_view text) : remaining_(text) {}
 
-  bool at_end() const { return left_.empty(); }
-  bool take(char wanted) {
-    if (left_.empty() || left_.front() != wanted) return false;
-    left_.remove_prefix(1);
+  bool at_end() const { return remaining_.empty(); }
+  bool consume(char wanted) {
+    if (remaining_.empty() || remaining_.front() != wanted) return false;
+    remaining_.remove_prefix(1);
     return true;
   }
-  std::optional<std::size_t> take_number(char end) {
+  std::optional<std::size_t> consume_number(char end) {
     std::size_t out = 0;
-    const std::from_chars_result read =
-        std::from_chars(left_.data(), left_.data() + left_.size(), out);
+    const std::from_chars_result read = std::from_chars(
+        remaining_.data(), remaining_.data() + remaining_.size(), out);
     if (read.ec != std::errc()) return std::nullopt;
-    left_.remove_prefix(static_cast<std::size_t>(read.ptr - left_.data()));
-    if (!take(end)) return std::nullopt;
+    remaining_.remove_prefix(
+        static_cast<std::size_t>(read.ptr - remaining_.data()));
+    if (!consume(end)) return std::nullopt;
     return out;
   }
-  std::optional<std::string_view> take_bytes(std::size_t n) {
-    if (n > left_.size()) return std::nullopt;
-    const std::string_view out = left_.substr(0, n);
-    left_.remove_prefix(n);
+  std::optional<std::string_view> consume_bytes(std::size_t n) {
+    if (n > remaining_.size()) return std::nullopt;
+    const std::string_view out = remaining_.substr(0, n);
+    remaining_.remove_prefix(n);
     return out;
   }
 
  private:
-  std::string_view left_;
+  std::string_view remaining_;
 };
 
 /// Reads the next instruction and returns its part of the new text. Returns
 /// nullopt if the instruction is malformed or out of range.
-std::optional<std::string_view> read_piece(delta_reader& in,
-                                           std::string_view before) {
-  if (in.take(new_mark)) {
-    const std::optional<std::size_t> length = in.take_number(';');
+std::optional<std::string_view> read_segment(delta_reader& in,
+                                             std::string_view before) {
+  if (in.consume(insert_mark)) {
+    const std::optional<std::size_t> length = in.consume_number(';');
     if (!length) return std::nullopt;
-    return in.take_bytes(*length);
+    return in.consume_bytes(*length);
   }
-  if (!in.take(copy_mark)) return std::nullopt;
-  const std::optional<std::size_t> offset = in.take_number(',');
+  if (!in.consume(copy_mark)) return std::nullopt;
+  const std::optional<std::size_t> offset = in.consume_number(',');
   if (!offset || *offset > before.size()) return std::nullopt;
-  const std::optional<std::size_t> length = in.take_number(';');
+  const std::optional<std::size_t> length = in.consume_number(';');
   if (!length || *length > before.size() - *offset) return std::nullopt;
   return before.substr(*offset, *length);
 }
@@ -122,19 +123,19 @@
 }  // namespace
 
 std::string make_text_delta(std::string_view before, std::string_view after) {
-  std::unordered_map<std::string_view, std::size_t> places;
-  for (const std::string_view it : split(before)) {
-    places.emplace(it, static_cast<std::size_t>(it.data() - before.data()));
+  std::unordered_map<std::string_view, std::size_t> offsets;
+  for (const std::string_view it : split_after_braces(before)) {
+    offsets.emplace(it, static_cast<std::size_t>(it.data() - before.data()));
   }
   delta_writer out;
-  for (const std::string_view it : split(after)) {
+  for (const std::string_view it : split_after_braces(after)) {
     const std::optional<std::size_t> next = out.next_offset();
     if (next && before.substr(*next, it.size()) == it) {
       out.copy(*next, it.size());
       continue;
     }
-    const auto found = places.find(it);
-    if (found == places.end()) {
+    const auto found = offsets.find(it);
+    if (found == offsets.end()) {
       out.add(it);
     } else {
       out.copy(found->second, it.size());
@@ -147,10 +148,10 @@
                                             std::string_view delta,
                                             std::size_t limit) {
   delta_reader in(delta);
-  if (!in.take(delta_mark)) return std::nullopt;
+  if (!in.consume(start_mark)) return std::nullopt;
   std::string out;
   while (!in.at_end()) {
-    const std::optional<std::string_view> piece = read_piece(in, before);
+    const std::optional<std::string_view> piece = read_segment(in, before);
     if (!piece || piece->size() > limit - out.size()) return std::nullopt;
     out += *piece;
   }
--- a/base/src/utf8.cc
+++ b/base/src/utf8.cc
@@ -11,7 +11,7 @@
 
 /// Returns the length in bytes of the sequence that starts with `lead`, or 0 if
 /// none does.
-std::size_t length_of(unsigned char lead) {
+std::size_t sequence_length(unsigned char lead) {
   if (lead < 0x80) return 1;
   if (lead >= 0xc2 && lead < 0xe0) return 2;
   if (lead >= 0xe0 && lead < 0xf0) return 3;
@@ -21,7 +21,7 @@
 
 /// Returns whether `second` may follow `lead`. Rejects overlong encodings,
 /// surrogates and code points above U+10FFFF.
-bool fits(unsigned char lead, unsigned char second) {
+bool is_valid_second_byte(unsigned char lead, unsigned char second) {
   switch (lead) {
     case 0xe0:
       return second >= 0xa0;
@@ -46,34 +46,34 @@
   std::size_t i = 0;
   while (i < text.size()) {
     const auto lead = static_cast<unsigned char>(text[i]);
-    const std::size_t n = length_of(lead);
+    const std::size_t n = sequence_length(lead);
     if (n == 0 || i + n > text.size()) return false;
     for (std::size_t j = 1; j < n; ++j) {
       const auto next = static_cast<unsigned char>(text[i + j]);
       if (!is_continuation(next)) return false;
-      if (j == 1 && !fits(lead, next)) return false;
+      if (j == 1 && !is_valid_second_byte(lead, next)) return false;
     }
     i += n;
   }
   return true;
 }
 
-bool is_printable(std::string_view text, std::size_t most) {
-  const auto controls = [](char it) {
+bool is_printable(std::string_view text, std::size_t max_bytes) {
+  const auto is_control = [](char it) {
     const auto n = static_cast<unsigned char>(it);
     return n < first_visible - 1 || n == last_visible + 1;
   };
-  return !text.empty() && text.size() <= most && is_utf8(text) &&
-         std::none_of(text.begin(), text.end(), controls);
+  return !text.empty() && text.size() <= max_bytes && is_utf8(text) &&
+         std::none_of(text.begin(), text.end(), is_control);
 }
 
-bool is_visible_ascii(std::string_view text, std::size_t most) {
-  const auto visible = [](char it) {
+bool is_visible_ascii(std::string_view text, std::size_t max_bytes) {
+  const auto is_visible = [](char it) {
     const auto n = static_cast<unsigned char>(it);
     return n >= first_visible && n <= last_visible;
   };
-  return !text.empty() && text.size() <= most &&
-         std::all_of(text.begin(), text.end(), visible);
+  return !text.empty() && text.size() <= max_bytes &&
+         std::all_of(text.begin(), text.end(), is_visible);
 }
 
 }  // namespace trestlepost
--- a/base/test/compression-test.cc
+++ b/base/test/compression-test.cc
@@ -14,53 +14,53 @@
   return out + "}";
 }
 
-TEST(compression_test, long_texts_travel_shorter_and_come_whole) {
+TEST(compression_test, long_texts_are_compressed_and_restored) {
   const std::string text = long_text();
-  const std::string packed = pack(text);
-  EXPECT_LT(packed.size(), text.size() / 4);
-  EXPECT_EQ(unpack(packed, limit), text);
+  const std::string compressed = compress_text(text);
+  EXPECT_LT(compressed.size(), text.size() / 4);
+  EXPECT_EQ(decompress_text(compressed, limit), text);
 }
 
 TEST(compression_test, damaged_and_oversized_input_is_refused) {
-  const std::string packed = pack(long_text());
-  EXPECT_FALSE(unpack(packed, 100));
-  for (std::size_t n = 1; n < packed.size(); n += 11) {
-    EXPECT_FALSE(unpack(packed.substr(0, n), limit)) << n;
+  const std::string compressed = compress_text(long_text());
+  EXPECT_FALSE(decompress_text(compressed, 100));
+  for (std::size_t n = 1; n < compressed.size(); n += 11) {
+    EXPECT_FALSE(decompress_text(compressed.substr(0, n), limit)) << n;
   }
-  std::string spoilt = packed;
-  spoilt[packed.size() / 2] ^= 0x55;
-  EXPECT_FALSE(unpack(spoilt, limit));
+  std::string spoilt = compressed;
+  spoilt[compressed.size() / 2] ^= 0x55;
+  EXPECT_FALSE(decompress_text(spoilt, limit));
 }
 
-RC_GTEST_PROP(compression_test, any_message_comes_back, ()) {
+RC_GTEST_PROP(compression_test, any_text_is_restored, ()) {
   const std::string body = *rc::gen::arbitrary<std::string>();
   const std::string text = "{" + body + body + body + body;
-  RC_ASSERT(unpack(pack(text), limit) == text);
+  RC_ASSERT(decompress_text(compress_text(text), limit) == text);
 }
 
 TEST(compression_test, printable_texts_need_no_escapes_in_json) {
   const std::string text = long_text();
-  const std::string packed = pack_printable(text);
-  EXPECT_LT(packed.size(), text.size() / 3);
-  EXPECT_EQ(packed.find_first_of("\"\\\n"), std::string::npos);
-  EXPECT_EQ(unpack_printable(packed, limit), text);
-  EXPECT_EQ(unpack_printable("{}", limit), "{}");
+  const std::string compressed = compress_printable(text);
+  EXPECT_LT(compressed.size(), text.size() / 3);
+  EXPECT_EQ(compressed.find_first_of("\"\\\n"), std::string::npos);
+  EXPECT_EQ(decompress_printable(compressed, limit), text);
+  EXPECT_EQ(decompress_printable("{}", limit), "{}");
 }
 
 TEST(compression_test, damaged_printable_input_is_refused) {
-  const std::string packed = pack_printable(long_text());
-  EXPECT_FALSE(unpack_printable(packed, 100));
-  EXPECT_FALSE(unpack_printable("z", limit));
-  EXPECT_FALSE(unpack_printable("z====", limit));
-  for (std::size_t n = 1; n < packed.size(); n += 11) {
-    EXPECT_FALSE(unpack_printable(packed.substr(0, n), limit)) << n;
+  const std::string compressed = compress_printable(long_text());
+  EXPECT_FALSE(decompress_printable(compressed, 100));
+  EXPECT_FALSE(decompress_printable("z", limit));
+  EXPECT_FALSE(decompress_printable("z====", limit));
+  for (std::size_t n = 1; n < compressed.size(); n += 11) {
+    EXPECT_FALSE(decompress_printable(compressed.substr(0, n), limit)) << n;
   }
 }
 
-RC_GTEST_PROP(compression_test, any_printable_text_comes_back, ()) {
+RC_GTEST_PROP(compression_test, any_text_is_restored_from_printable_form, ()) {
   const std::string body = *rc::gen::arbitrary<std::string>();
   const std::string text = "{" + body + body + body + body + body + body;
-  RC_ASSERT(unpack_printable(pack_printable(text), limit) == text);
+  RC_ASSERT(decompress_printable(compress_printable(text), limit) == text);
 }
 
 }  // namespace
--- a/base/test/json_document-test.cc
+++ b/base/test/json_document-test.cc
@@ -10,7 +10,7 @@
 namespace trestlepost {
 namespace {
 
-TEST(json_document_test, values_are_read_as_they_stand) {
+TEST(json_document_test, parses_every_value_type) {
   const result<json_document> it = json_document::parse(
       " {\"a\":[1,-2,2.5,18446744073709551615,true,null],\"b\":\"x\\u00e9\"} ");
   ASSERT_TRUE(it) << it.error().message;
@@ -26,7 +26,7 @@
   EXPECT_TRUE(member_of(all[0], "c").is_null());
 }
 
-TEST(json_document_test, what_is_no_document_is_refused) {
+TEST(json_document_test, rejects_invalid_documents) {
   const std::string deep(max_json_depth + 1, '[');
   for (const std::string& it :
        {std::string(), std::string("{"), std::string("{}x"),
@@ -41,7 +41,7 @@
   }
 }
 
-TEST(json_document_test, each_beginning_of_a_document_is_refused) {
+TEST(json_document_test, rejects_truncated_documents) {
   const std::string text =
       "{\"routes\":[{\"name\":\"r\",\"n\":1.5e3},{}],\"limits\":{}}";
   for (std::size_t n = 0; n < text.size(); ++n) {
--- a/base/test/log_writer-test.cc
+++ b/base/test/log_writer-test.cc
@@ -36,21 +36,21 @@
   std::array<int, 2> ends_{};
 };
 
-TEST(log_writer_test, a_reader_that_does_not_read_stops_nobody) {
+TEST(log_writer_test, does_not_block_on_a_stalled_reader) {
   const pipe_pair pipe;
   log_writer writer(pipe.in(), 10'000);
   const std::string line(999, 'x');
   for (int i = 0; i < 1000; ++i) writer.push(line + "\n");
-  EXPECT_GT(writer.lines_left_out(), 0U);
+  EXPECT_GT(writer.lines_dropped(), 0U);
   std::string seen = pipe.read_all();
   writer.flush();
   seen += pipe.read_all();
   // No line is truncated: each is either written completely or counted.
   EXPECT_EQ(seen.size() % 1000, 0U);
-  EXPECT_EQ(seen.size() / 1000 + writer.lines_left_out(), 1000U);
+  EXPECT_EQ(seen.size() / 1000 + writer.lines_dropped(), 1000U);
 }
 
-TEST(log_writer_test, long_lines_come_whole) {
+TEST(log_writer_test, writes_long_lines_completely) {
   const pipe_pair pipe;
   log_writer writer(pipe.in());
   const std::string line(20'000, 'y');
@@ -61,17 +61,17 @@
   EXPECT_EQ(seen, line + "\n");
 }
 
-TEST(log_rate_limiter_test, each_kind_has_its_own_bound) {
+TEST(log_rate_limiter_test, limits_each_event_separately) {
   log_rate_limiter limiter({10, 5});
   const monotonic_time now{std::chrono::hours(1)};
-  for (int i = 0; i < 5; ++i) EXPECT_TRUE(limiter.ask("done", now).write);
-  EXPECT_FALSE(limiter.ask("done", now).write);
-  EXPECT_FALSE(limiter.ask("done", now).write);
-  EXPECT_TRUE(limiter.ask("failed", now).write);
-  const log_rate_limiter::verdict later =
-      limiter.ask("done", now + milliseconds(100));
+  for (int i = 0; i < 5; ++i) EXPECT_TRUE(limiter.admit("done", now).write);
+  EXPECT_FALSE(limiter.admit("done", now).write);
+  EXPECT_FALSE(limiter.admit("done", now).write);
+  EXPECT_TRUE(limiter.admit("failed", now).write);
+  const log_rate_limiter::decision later =
+      limiter.admit("done", now + milliseconds(100));
   EXPECT_TRUE(later.write);
-  EXPECT_EQ(later.left_out_before, 2U);
+  EXPECT_EQ(later.dropped_before, 2U);
 }
 
 }  // namespace
--- a/base/test/object_reader-test.cc
+++ b/base/test/object_reader-test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(parse_duration_test, reads_each_unit_and_refuses_the_rest) {
+TEST(parse_duration_test, accepts_only_known_units) {
   EXPECT_EQ(parse_duration("250 ms"), milliseconds(250));
   EXPECT_EQ(parse_duration("5s"), milliseconds(5000));
   EXPECT_EQ(parse_duration("2 min"), milliseconds(120'000));
@@ -17,7 +17,7 @@
   }
 }
 
-TEST(object_reader_test, reports_every_mistake_with_line_and_remedy) {
+TEST(object_reader_test, reports_every_problem_with_line_and_remedy) {
   const std::string text =
       "{\n  // a comment\n  \"wiat\": \"5 s\",\n  \"port\": 70000,\n"
       "  \"lease\": \"5 parsecs\"\n}\n";
@@ -38,7 +38,7 @@
   EXPECT_EQ(problems.items()[3].remedy, "did you mean \"wait\"?");
 }
 
-TEST(parse_json_test, refuses_damaged_documents) {
+TEST(parse_json_test, rejects_malformed_documents) {
   for (const char* it :
        {"", "{", "{\"a\":1}x", "{\"a\":1,\"a\":2}", "[1,]", "nul"}) {
     EXPECT_FALSE(parse_json(it)) << it;
--- a/base/test/text_delta-test.cc
+++ b/base/test/text_delta-test.cc
@@ -18,7 +18,7 @@
   return out + "]}";
 }
 
-RC_GTEST_PROP(text_delta_test, a_delta_leads_to_the_text, ()) {
+RC_GTEST_PROP(text_delta_test, a_delta_restores_the_new_text, ()) {
   const auto any_text = [] {
     const std::vector<std::string> parts =
         *rc::gen::container<std::vector<std::string>>(
@@ -36,14 +36,14 @@
   RC_ASSERT(*got == after);
 }
 
-RC_GTEST_PROP(text_delta_test, no_delta_reads_beyond_its_text,
+RC_GTEST_PROP(text_delta_test, an_arbitrary_delta_stays_within_the_limit,
               (const std::string& before, const std::string& tail)) {
   const std::optional<std::string> got =
       apply_text_delta(before, "{" + tail, limit);
   RC_ASSERT(!got || got->size() <= limit);
 }
 
-TEST(text_delta_test, what_does_not_fit_is_refused) {
+TEST(text_delta_test, rejects_malformed_and_out_of_range_deltas) {
   for (const char* it :
        {"", "x", "{=0,4;", "{=4,1;", "{=0,", "{=0,1", "{+2;a", "{+;a", "{-1;",
         "{=18446744073709551615,2;", "{=1,18446744073709551615;"}) {
@@ -53,7 +53,7 @@
   EXPECT_EQ(apply_text_delta("abc", "{=0,3;=0,3;", 6), "abcabc");
 }
 
-TEST(text_delta_test, it_grows_with_what_is_new) {
+TEST(text_delta_test, delta_size_depends_on_the_changes) {
   const std::string before = document(0, 5000);
   EXPECT_LT(make_text_delta(before, before).size(), 20U);
   const std::string more = make_text_delta(before, document(0, 5010));
--- a/base/test/utf8-test.cc
+++ b/base/test/utf8-test.cc
@@ -5,7 +5,7 @@
 namespace trestlepost {
 namespace {
 
-TEST(utf8_test, well_formed_text_is_taken) {
+TEST(utf8_test, accepts_well_formed_text) {
   for (const char* it :
        {"", "plain", "caf\xc3\xa9", "\xe2\x82\xac", "\xf0\x9f\x9a\x82",
         "\xed\x9f\xbf", "\xf4\x8f\xbf\xbf"}) {
@@ -13,7 +13,7 @@
   }
 }
 
-TEST(utf8_test, what_is_no_character_is_not) {
+TEST(utf8_test, rejects_malformed_sequences) {
   for (const char* it :
        {"\xff", "\x80", "a\xc3", "\xc3(", "\xc0\xaf", "\xe0\x80\xaf",
         "\xed\xa0\x80", "\xf0\x80\x80\xaf", "\xf4\x90\x80\x80", "\xe2\x82"}) {
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(utf8_test, control_characters_and_length_are_bounded) {
+TEST(utf8_test, rejects_control_characters_and_long_text) {
   EXPECT_TRUE(is_printable("due caff\xc3\xa8", 10));
   EXPECT_FALSE(is_printable("due caff\xc3\xa8", 9));
   EXPECT_FALSE(is_printable("", 9));
--- a/bench/src/endpoint.cc
+++ b/bench/src/endpoint.cc
@@ -21,8 +21,8 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using transport::awaitable;
-using transport::http_answer;
 using transport::http_exchange;
+using transport::http_response;
 
 constexpr std::size_t characters_per_token = 4;
 constexpr std::size_t prefix_size = 512;
@@ -103,7 +103,7 @@
   awaitable<void> pause(microseconds n);
   microseconds token_time() const;
   void log(const work& item, const char* phase) const;
-  http_answer head_for(const work& item) const;
+  http_response head_for(const work& item) const;
 
   transport::asio::io_context& io_;
   const endpoint_options& options_;
@@ -149,8 +149,8 @@
                                 item.attempt, item.key, phase});
 }
 
-http_answer endpoint_handler::head_for(const work& item) const {
-  http_answer out;
+http_response endpoint_handler::head_for(const work& item) const {
+  http_response out;
   std::string echoed = item.attempt;
   if (fault_ == fault::crossed) echoed = "another-attempt";
   out.headers = {{"Trestlepost-Attempt", echoed},
@@ -167,7 +167,7 @@
   const std::shared_ptr<waiting_work> own = std::make_shared<waiting_work>(io_);
   const auto place = waiting_.emplace(priority, own);
   bool left = false;
-  exchange.on_gone([own, &left] {
+  exchange.on_disconnect([own, &left] {
     left = true;
     own->wake.cancel();
   });
@@ -177,7 +177,7 @@
     co_await own->wake.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   }
-  exchange.on_gone(nullptr);
+  exchange.on_disconnect(nullptr);
   if (own->started) co_return true;
   waiting_.erase(place);
   co_return false;
@@ -213,7 +213,7 @@
   body["running"] = samples_.front().running;
   body["waiting"] = samples_.front().waiting;
   body["slots"] = options_.slots;
-  http_answer answer;
+  http_response answer;
   answer.body = to_text(body);
   co_await exchange.respond(std::move(answer));
 }
@@ -231,7 +231,7 @@
   body["region"] = options_.region;
   body["request_id"] = item.request_id;
   body["run"] = json(Json::UInt64(runs_));
-  http_answer answer = head_for(item);
+  http_response answer = head_for(item);
   answer.body = to_text(body);
   if (fault_ == fault::cut) {
     co_await exchange.start_stream(std::move(answer));
@@ -264,7 +264,7 @@
   const std::uint64_t fresh =
       cached ? item.prompt_tokens / 10 + 1 : item.prompt_tokens;
   co_await pause(options_.prefill_per_token * fresh);
-  http_answer head = head_for(item);
+  http_response head = head_for(item);
   if (item.stream) {
     head.content_type = "text/event-stream";
     bool open = co_await exchange.start_stream(std::move(head));
@@ -288,13 +288,13 @@
     co_return;
   }
   bool left = false;
-  exchange.on_gone([&left] { left = true; });
+  exchange.on_disconnect([&left] { left = true; });
   for (std::uint64_t done = 0; done < item.tokens && !left;) {
     const std::uint64_t n = std::min(tokens_per_piece, item.tokens - done);
     co_await pause(token_time() * n);
     done += n;
   }
-  exchange.on_gone(nullptr);
+  exchange.on_disconnect(nullptr);
   if (left) co_return;
   log(item, "end");
   json body;
@@ -309,7 +309,7 @@
 
 awaitable<void> endpoint_handler::run(http_exchange& exchange, work item) {
   if (fault_ == fault::refuse) {
-    http_answer answer = head_for(item);
+    http_response answer = head_for(item);
     answer.status = 503;
     co_await exchange.respond(std::move(answer));
     co_return;
@@ -321,7 +321,7 @@
   if (fault_ == fault::hang) {
     constexpr milliseconds long_time{3'600'000};
     bool left = false;
-    exchange.on_gone([&left] { left = true; });
+    exchange.on_disconnect([&left] { left = true; });
     while (!left) co_await pause(std::min(long_time, milliseconds(100)));
     co_return;
   }
@@ -346,7 +346,7 @@
   constexpr std::string_view fault_path = "/stand-in/fault?";
   if (target.starts_with(fault_path)) {
     fault_ = fault_from(target.substr(fault_path.size()));
-    http_answer answer;
+    http_response answer;
     co_await exchange.respond(std::move(answer));
     co_return;
   }
--- a/bench/src/load.cc
+++ b/bench/src/load.cc
@@ -49,7 +49,7 @@
  private:
   static transport::http_client_options client_options() {
     transport::http_client_options out;
-    out.most_kept = 512;
+    out.max_idle_per_address = 512;
     return out;
   }
 
--- a/bench/src/platform.cc
+++ b/bench/src/platform.cc
@@ -12,8 +12,8 @@
 namespace {
 
 using transport::awaitable;
-using transport::http_answer;
 using transport::http_exchange;
+using transport::http_response;
 
 class platform_handler final : public transport::http_handler {
  public:
@@ -26,7 +26,7 @@
     const std::string target(exchange.target());
     const result<std::string> body = co_await exchange.read_body();
     if (!body) co_return;
-    http_answer answer;
+    http_response answer;
     if (target == "/v1/vms") {
       answer.body = listed();
     } else {
--- a/bench/src/relay.cc
+++ b/bench/src/relay.cc
@@ -201,7 +201,7 @@
       }
     }
     change(query);
-    transport::http_answer answer;
+    transport::http_response answer;
     co_await exchange.respond(std::move(answer));
   }
 
--- a/config/src/change.cc
+++ b/config/src/change.cc
@@ -128,12 +128,12 @@
 }
 
 std::string encode_change(const change& value) {
-  return pack_printable(to_text(to_json(value)));
+  return compress_printable(to_text(to_json(value)));
 }
 
 result<change> decode_change(std::string_view command) {
   const std::optional<std::string> text =
-      unpack_printable(command, max_command_bytes);
+      decompress_printable(command, max_command_bytes);
   if (!text) {
     return fail(error_kind::corrupt,
                 "a change in the log cannot be decompressed",
--- a/config/src/plan_edit.cc
+++ b/config/src/plan_edit.cc
@@ -21,7 +21,8 @@
   plan_edit out;
   out.base = old.number;
   out.delta = make_plan_delta(before, after);
-  out.document = pack_printable(make_text_delta(old.document, after.document));
+  out.document =
+      compress_printable(make_text_delta(old.document, after.document));
   return out;
 }
 
@@ -30,7 +31,7 @@
   const traffic_plan none;
   const traffic_plan& old = before == nullptr ? none : *before;
   const std::optional<std::string> delta =
-      unpack_printable(edit.document, max_document_bytes);
+      decompress_printable(edit.document, max_document_bytes);
   std::optional<std::string> document;
   if (delta) {
     document = apply_text_delta(old.document, *delta, max_document_bytes);
--- a/config/src/state_machine.cc
+++ b/config/src/state_machine.cc
@@ -398,7 +398,7 @@
   for (const auto& [region, it] : ledgers_) ledgers.append(config::to_json(it));
   out["ledgers"] = std::move(ledgers);
   out["next_sequence"] = json(Json::UInt64(next_sequence_));
-  return pack_printable(to_text(out));
+  return compress_printable(to_text(out));
 }
 
 void config_state_machine::load(std::string_view data) {
@@ -411,7 +411,7 @@
   next_sequence_ = 1;
   if (data.empty()) return;
   const std::optional<std::string> text =
-      unpack_printable(data, max_snapshot_bytes);
+      decompress_printable(data, max_snapshot_bytes);
   const result<json> parsed = parse_json(text.value_or(""));
   if (!parsed) {
     log_event(log_level::error, "snapshot-unreadable",
--- a/ctl/src/client.cc
+++ b/ctl/src/client.cc
@@ -65,7 +65,7 @@
       post(address, options_.token,
            transport::make_rpc_request(method, params, next_id_++));
   if (!text) return tl::make_unexpected(text.error());
-  return transport::read_rpc_answer(*text);
+  return transport::parse_rpc_response(*text);
 }
 
 result<json> client::call(const std::string& method, const json& params) {
--- a/gateway/include/trestlepost/gateway/attempt.h
+++ b/gateway/include/trestlepost/gateway/attempt.h
@@ -30,7 +30,7 @@
   bool connection_lost = false;
   /// An error response from the endpoint itself. The caller receives it if
   /// there is no further attempt.
-  std::optional<transport::http_answer> endpoint_answer;
+  std::optional<transport::http_response> endpoint_answer;
 };
 
 /// Returns whether `cause` is a lost connection rather than a deadline of this
--- a/gateway/include/trestlepost/gateway/entry_handler.h
+++ b/gateway/include/trestlepost/gateway/entry_handler.h
@@ -27,9 +27,9 @@
  private:
   /// Answers requests for the entry directory, readiness and health, and
   /// reports unknown paths.
-  transport::http_answer answer_node_query(
+  transport::http_response answer_node_query(
       const transport::http_exchange& exchange) const;
-  transport::http_answer answer_entries(
+  transport::http_response answer_entries(
       const transport::http_exchange& exchange,
       membership::entry_query query) const;
   /// The state of this node as reported by the readiness and health paths.
--- a/gateway/src/admission.cc
+++ b/gateway/src/admission.cc
@@ -217,7 +217,7 @@
       queue.queue.push({id, request.caller->name, request.caller->share,
                         request.priority, latest});
   if (evicted) complete_waiter(queue, *evicted, overload_refusal(wait));
-  exchange.on_gone([this, service, id] {
+  exchange.on_disconnect([this, service, id] {
     service_queue& abandoned = queue_of(service);
     abandoned.queue.remove(id);
     complete_waiter(
@@ -231,7 +231,7 @@
     co_await pending->wake.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   }
-  exchange.on_gone(nullptr);
+  exchange.on_disconnect(nullptr);
   if (pending->refusal) co_return tl::make_unexpected(*pending->refusal);
   co_return std::move(*pending->lease);
 }
--- a/gateway/src/answer_relay.cc
+++ b/gateway/src/answer_relay.cc
@@ -5,13 +5,13 @@
 namespace trestlepost::gateway {
 
 using transport::awaitable;
-using transport::http_answer;
 using transport::http_call;
 using transport::http_exchange;
+using transport::http_response;
 
-http_answer answer_head(const http_call& call,
-                        const surface::endpoint_codec& codec) {
-  http_answer out;
+http_response answer_head(const http_call& call,
+                          const surface::endpoint_codec& codec) {
+  http_response out;
   out.status = call.status();
   out.content_type.clear();
   out.headers = codec.passthrough_headers(call);
@@ -19,7 +19,7 @@
 }
 
 awaitable<relayed_stream> relay_stream(http_call& call, http_exchange& exchange,
-                                       http_answer head, std::string first,
+                                       http_response head, std::string first,
                                        const std::function<void()>& on_next) {
   relayed_stream out;
   result<std::string> piece(std::move(first));
@@ -30,7 +30,7 @@
     if (!open) break;
     piece = co_await call.read_piece();
     // A call is cancelled when the caller disconnects.
-    open = !exchange.gone();
+    open = !exchange.is_disconnected();
     if (!open) break;
     if (!piece) {
       exchange.abort();
--- a/gateway/src/answer_relay.h
+++ b/gateway/src/answer_relay.h
@@ -16,8 +16,8 @@
 inline constexpr std::size_t max_plain_answer_bytes = 16UL * 1024 * 1024;
 
 /// Returns the answer of `call` without its body.
-transport::http_answer answer_head(const transport::http_call& call,
-                                   const surface::endpoint_codec& codec);
+transport::http_response answer_head(const transport::http_call& call,
+                                     const surface::endpoint_codec& codec);
 
 /// How a relayed stream ended. If neither member is set, it is complete and the
 /// exchange still has to be finished.
@@ -32,7 +32,7 @@
 /// disconnects, and aborts the exchange if the call is interrupted.
 transport::awaitable<relayed_stream> relay_stream(
     transport::http_call& call, transport::http_exchange& exchange,
-    transport::http_answer head, std::string first,
+    transport::http_response head, std::string first,
     const std::function<void()>& on_next);
 
 }  // namespace trestlepost::gateway
--- a/gateway/src/crash_monitor.cc
+++ b/gateway/src/crash_monitor.cc
@@ -56,7 +56,7 @@
       return "crashed";
     case connect_outcome::opened:
       return "well";
-    case connect_outcome::silent:
+    case connect_outcome::unreachable:
       break;
   }
   return "silent";
--- a/gateway/src/delivery.cc
+++ b/gateway/src/delivery.cc
@@ -12,19 +12,19 @@
 
 using transport::awaitable;
 using transport::header_list;
-using transport::http_answer;
 using transport::http_call;
 using transport::http_exchange;
+using transport::http_response;
 
 // Non-streamed answers up to this size are buffered completely before they are
 // sent.
 constexpr std::size_t max_buffered_bytes = 1024UL * 1024;
 constexpr std::string_view event_stream = "text/event-stream";
 
-http_answer head_of(const http_call& call, header_list headers) {
+http_response head_of(const http_call& call, header_list headers) {
   // Only `not_run` depends on the service's setting, and it is not used here.
   const own::endpoint_codec codec(false);
-  http_answer out = answer_head(call, codec);
+  http_response out = answer_head(call, codec);
   std::move(headers.begin(), headers.end(), std::back_inserter(out.headers));
   return out;
 }
@@ -56,7 +56,7 @@
                                    std::function<void()> on_first) {
   delivery_result out;
   out.outcome.ran = run_state::unknown;
-  http_answer answer = head_of(call, std::move(headers));
+  http_response answer = head_of(call, std::move(headers));
   const std::string content_type(call.header("Content-Type"));
   const bool streamed = content_type.starts_with(event_stream);
   std::string buffered;
@@ -100,10 +100,10 @@
 
 awaitable<void> refuse(http_exchange& exchange, const attempt& outcome,
                        const std::string& request_id) {
-  if (exchange.answered() || exchange.gone()) co_return;
+  if (exchange.has_response_started() || exchange.is_disconnected()) co_return;
   const surface::refusal why{outcome.cause, outcome.ran, outcome.retry_after,
                              request_id};
-  http_answer answer = own::caller_codec().refuse(why);
+  http_response answer = own::caller_codec().refuse(why);
   co_await exchange.respond(std::move(answer));
 }
 
--- a/gateway/src/endpoint_runner.cc
+++ b/gateway/src/endpoint_runner.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 using transport::awaitable;
-using transport::http_answer;
+using transport::http_response;
 
 // Answers to earlier requests that are skipped on a connection before it is
 // abandoned.
@@ -80,8 +80,10 @@
   pool_.record_sent(endpoint.name);
   current.ticket = pool_.engines().begin_request(
       endpoint.name, request.work, endpoint.prefill_tokens, current.started);
-  std::function<void()> on_gone = [call = current.call] { call->cancel(); };
-  exchange.on_gone(std::move(on_gone));
+  std::function<void()> on_disconnect = [call = current.call] {
+    call->cancel();
+  };
+  exchange.on_disconnect(std::move(on_disconnect));
   attempt out;
   const send_result sent = co_await send(current);
   if (sent) {
@@ -98,7 +100,7 @@
   const bool reached = out.sends > 0;
   const bool first = request.sends.count() == 0;
   if (reached) context_.metrics.sent(request.service, first);
-  const bool interrupted = out.connection_lost && !exchange.gone();
+  const bool interrupted = out.connection_lost && !exchange.is_disconnected();
   if (interrupted) {
     crashes_.run_interrupted(
         request.fingerprint(context_.peer_secret),
@@ -112,7 +114,7 @@
   if (out.delivered && !events.continued()) {
     context_.metrics.served_in(request.service, context_.self.region);
   }
-  exchange.on_gone(nullptr);
+  exchange.on_disconnect(nullptr);
   pool_.engines().end_request(current.ticket, context_.clock.now());
   context_.endpoints.request_ended(endpoint.name);
   out.endpoint = endpoint.name;
@@ -162,7 +164,7 @@
       wrong_answer.bytes_written = true;
       co_return tl::make_unexpected(std::move(wrong_answer));
     }
-    sent = co_await current.call->next_answer();
+    sent = co_await current.call->read_next_response();
   }
   co_return sent;
 }
@@ -175,7 +177,8 @@
                     current.answer_by == current.request.deadline;
   if (failure.refused) {
     context_.endpoints.connection_refused(current.endpoint.name, at);
-  } else if (!current.exchange.gone() && !(late && failure.bytes_written)) {
+  } else if (!current.exchange.is_disconnected() &&
+             !(late && failure.bytes_written)) {
     context_.endpoints.request_failed(current.endpoint.name, at);
   }
   attempt out =
@@ -184,7 +187,7 @@
   out.sends = failure.bytes_written ? 1 : 0;
   out.connection_lost =
       failure.bytes_written && is_connection_loss(failure.cause);
-  if (!current.exchange.gone()) {
+  if (!current.exchange.is_disconnected()) {
     log_event(log_level::warn, "endpoint-failed",
               {{"request_id", current.request.head.request_id},
                {"endpoint", current.endpoint.name},
@@ -241,14 +244,14 @@
   result<std::string> body =
       co_await current.call->read_rest(max_plain_answer_bytes);
   if (!body) {
-    if (!current.exchange.gone()) {
+    if (!current.exchange.is_disconnected()) {
       context_.endpoints.request_failed(current.endpoint.name,
                                         context_.clock.now());
     }
     co_return interrupted_run(body.error());
   }
   context_.endpoints.request_succeeded(current.endpoint.name);
-  http_answer answer = answer_head(*current.call, *surfaces_.endpoints);
+  http_response answer = answer_head(*current.call, *surfaces_.endpoints);
   answer.body = std::move(*body);
   attempt out;
   if (answer.status >= first_server_error &&
@@ -274,7 +277,7 @@
 awaitable<attempt> endpoint_runner::deliver_stream(active_run& current) {
   result<std::string> piece = co_await current.call->read_piece();
   if (!piece) {
-    if (!current.exchange.gone()) {
+    if (!current.exchange.is_disconnected()) {
       context_.endpoints.request_failed(current.endpoint.name,
                                         context_.clock.now());
     }
@@ -287,7 +290,7 @@
   attempt out;
   out.delivered = true;
   out.ran = run_state::yes;
-  http_answer head = answer_head(*current.call, *surfaces_.endpoints);
+  http_response head = answer_head(*current.call, *surfaces_.endpoints);
   const std::function<void()> on_next = [this, &current] {
     pool_.engines().record_event(current.ticket, context_.clock.now());
   };
@@ -361,13 +364,14 @@
 awaitable<bool> endpoint_runner::pass_events(active_run& current,
                                              std::string text, bool ended) {
   // A stream without events so far can still be restarted elsewhere.
-  const bool begins = !current.exchange.answered();
-  if (begins && text.empty() && !ended) co_return !current.exchange.gone();
+  const bool begins = !current.exchange.has_response_started();
+  if (begins && text.empty() && !ended)
+    co_return !current.exchange.is_disconnected();
   if (begins) {
     context_.metrics.first_piece(
         current.request.service,
         context_.clock.now() - current.request.arrived);
-    http_answer head = answer_head(*current.call, *surfaces_.endpoints);
+    http_response head = answer_head(*current.call, *surfaces_.endpoints);
     const bool open = co_await current.exchange.start_stream(std::move(head));
     if (!open) co_return false;
   }
@@ -376,11 +380,11 @@
 
 attempt endpoint_runner::handle_interruption(active_run& current,
                                              const error& cause) {
-  if (current.exchange.gone()) return caller_disconnected(current);
+  if (current.exchange.is_disconnected()) return caller_disconnected(current);
   current.call->cancel();
   context_.endpoints.request_failed(current.endpoint.name,
                                     context_.clock.now());
-  if (!current.exchange.answered()) {
+  if (!current.exchange.has_response_started()) {
     return interrupted_run(cause);
   }
   attempt out;
--- a/gateway/src/entry_handler.cc
+++ b/gateway/src/entry_handler.cc
@@ -12,8 +12,8 @@
 
 using std::chrono::seconds;
 using transport::awaitable;
-using transport::http_answer;
 using transport::http_exchange;
+using transport::http_response;
 
 /// Returns whether an attempt at another endpoint or region may succeed.
 bool is_retryable(error_kind kind) {
@@ -38,11 +38,11 @@
     co_await answer_call(exchange, std::move(*call));
     co_return;
   }
-  http_answer answer = answer_node_query(exchange);
+  http_response answer = answer_node_query(exchange);
   co_await exchange.respond(std::move(answer));
 }
 
-http_answer entry_handler::answer_node_query(
+http_response entry_handler::answer_node_query(
     const http_exchange& exchange) const {
   const std::string_view method = exchange.method();
   const std::string_view target = exchange.target();
@@ -65,8 +65,8 @@
   return {ready, context_.state.name(), context_.store.revision()};
 }
 
-http_answer entry_handler::answer_entries(const http_exchange& exchange,
-                                          membership::entry_query query) const {
+http_response entry_handler::answer_entries(
+    const http_exchange& exchange, membership::entry_query query) const {
   if (query.near_region.empty()) query.near_region = context_.self.region;
   if (query.near_zone.empty()) {
     query.near_zone = context_.self.availability_zone;
@@ -74,7 +74,7 @@
   const result<config::label_map> requested =
       entries_.read_labels(exchange.target());
   if (!requested) {
-    http_answer refused = entries_.refuse(requested.error());
+    http_response refused = entries_.refuse(requested.error());
     // The header is part of the interface, although no request id applies here.
     refused.headers.emplace_back("X-Request-Id", "");
     return refused;
@@ -285,7 +285,8 @@
     } else {
       last = co_await remote_.serve(request, region, avoid, exchange);
     }
-    if (last.delivered || exchange.answered() || exchange.gone()) {
+    if (last.delivered || exchange.has_response_started() ||
+        exchange.is_disconnected()) {
       last.delivered = true;
       co_return last;
     }
--- a/gateway/src/forward_handler.cc
+++ b/gateway/src/forward_handler.cc
@@ -16,9 +16,9 @@
 
 awaitable<void> refuse_forward(http_exchange& exchange,
                                const attempt& outcome) {
-  if (exchange.answered() || exchange.gone()) co_return;
+  if (exchange.has_response_started() || exchange.is_disconnected()) co_return;
   const surface::refusal why{outcome.cause, outcome.ran, outcome.retry_after};
-  transport::http_answer answer = own::caller_codec().refuse(why);
+  transport::http_response answer = own::caller_codec().refuse(why);
   answer.headers.emplace_back(refused_header, "true");
   result<json> body = parse_json(answer.body);
   if (body && !outcome.endpoint.empty()) {
--- a/gateway/src/forwarder.cc
+++ b/gateway/src/forwarder.cc
@@ -102,7 +102,7 @@
   out.body = request.body;
   const std::shared_ptr<transport::http_call> call =
       context_.client.call(address);
-  if (request.repeatable) exchange.on_gone([call] { call->cancel(); });
+  if (request.repeatable) exchange.on_disconnect([call] { call->cancel(); });
   context_.metrics.forwarded(region);
   const tl::expected<void, transport::call_failure> sent =
       co_await call->send(std::move(out), request.deadline);
--- a/gateway/src/local_service.cc
+++ b/gateway/src/local_service.cc
@@ -69,7 +69,7 @@
                          "the request ran; its answer was too large to keep",
                          "look up its effect at the service"});
   }
-  transport::http_answer out;
+  transport::http_response out;
   out.status = answer.status;
   out.content_type = answer.content_type;
   out.headers = answer_headers(region, run_state::yes, id);
@@ -296,7 +296,7 @@
       context_.client.call(lease->address());
   // A request that must not run twice is left to complete, so that its outcome
   // is recorded.
-  if (request.repeatable) exchange.on_gone([call] { call->cancel(); });
+  if (request.repeatable) exchange.on_disconnect([call] { call->cancel(); });
   const own::endpoint_codec codec(request.service->refusal_means_not_run);
   const surface::endpoint_attempt sending{.head = request.head,
                                           .body = request.body,
@@ -308,7 +308,8 @@
       co_await call->send(std::move(out), request.deadline);
   const run_location at{lease->name(), lease->address(), request.service->name};
   if (!sent) {
-    const bool interrupted = sent.error().bytes_written && !exchange.gone() &&
+    const bool interrupted = sent.error().bytes_written &&
+                             !exchange.is_disconnected() &&
                              is_connection_loss(sent.error().cause);
     if (interrupted) crashes_.run_interrupted(fingerprint(request), at);
     co_return send_failed(request, lease->name(), sent.error());
@@ -346,10 +347,10 @@
       *call, exchange, std::move(headers), std::move(on_first));
   delivered.outcome.endpoint = lease->name();
   const bool interrupted =
-      delivered.outcome.connection_lost && !exchange.gone();
+      delivered.outcome.connection_lost && !exchange.is_disconnected();
   if (interrupted) crashes_.run_interrupted(fingerprint(request), at);
   if (!delivered.outcome.delivered) {
-    if (!exchange.gone()) {
+    if (!exchange.is_disconnected()) {
       context_.endpoints.request_failed(lease->name(), context_.clock.now());
     }
     co_return delivered;
--- a/gateway/src/refusal_message.cc
+++ b/gateway/src/refusal_message.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-transport::http_answer make_refusal(const attempt& outcome) {
+transport::http_response make_refusal(const attempt& outcome) {
   json body;
   body["kind"] = std::string(to_string(outcome.cause.kind));
   body["ran"] = std::string(to_string(outcome.ran));
@@ -25,7 +25,7 @@
       as_number(static_cast<std::uint64_t>(outcome.retry_after.count()));
   body["endpoint"] = outcome.endpoint;
   body["sends"] = outcome.sends;
-  transport::http_answer out;
+  transport::http_response out;
   out.status = own::status_of(outcome.cause.kind);
   out.headers.emplace_back(refused_header, "true");
   out.body = to_text(body);
--- a/gateway/src/refusal_message.h
+++ b/gateway/src/refusal_message.h
@@ -9,7 +9,7 @@
 namespace trestlepost::gateway {
 
 /// Returns the answer to the gateway that forwarded the request.
-transport::http_answer make_refusal(const attempt& outcome);
+transport::http_response make_refusal(const attempt& outcome);
 
 /// Parses the body of a refusal. If `ran` is missing, the request may have run.
 attempt read_refusal(const std::string& body);
--- a/gateway/src/request_fingerprint.cc
+++ b/gateway/src/request_fingerprint.cc
@@ -26,7 +26,7 @@
   append(text, request.host);
   append(text, request.target);
   append(text, sha256_hex(request.body));
-  const digest out = keyed_digest(secret, text);
+  const sha256_digest out = hmac_sha256(secret, text);
   return to_hex(out.data(), fingerprint_bytes);
 }
 
--- a/gateway/src/route_forward_handler.cc
+++ b/gateway/src/route_forward_handler.cc
@@ -103,13 +103,15 @@
                                retry_after_wrong_node);
     }
   }
-  if (outcome.delivered || exchange.answered() || exchange.gone()) co_return;
+  if (outcome.delivered || exchange.has_response_started() ||
+      exchange.is_disconnected())
+    co_return;
   if (outcome.endpoint_answer) {
-    transport::http_answer answer = std::move(*outcome.endpoint_answer);
+    transport::http_response answer = std::move(*outcome.endpoint_answer);
     co_await exchange.respond(std::move(answer));
     co_return;
   }
-  transport::http_answer refusal = make_refusal(outcome);
+  transport::http_response refusal = make_refusal(outcome);
   co_await exchange.respond(std::move(refusal));
 }
 
--- a/gateway/src/route_forwarder.cc
+++ b/gateway/src/route_forwarder.cc
@@ -29,9 +29,9 @@
 
 /// Returns the head of the answer without the headers that are intended for
 /// this gateway.
-transport::http_answer caller_head(const transport::http_call& call,
-                                   const surface::endpoint_codec& codec) {
-  transport::http_answer out = answer_head(call, codec);
+transport::http_response caller_head(const transport::http_call& call,
+                                     const surface::endpoint_codec& codec) {
+  transport::http_response out = answer_head(call, codec);
   std::erase_if(out.headers,
                 [](const auto& it) { return is_gateway_header(it.first); });
   return out;
@@ -109,8 +109,8 @@
   }
   const std::shared_ptr<transport::http_call> call =
       context_.client.call(gateway->last.node.forward_address);
-  std::function<void()> on_gone = [call] { call->cancel(); };
-  exchange.on_gone(std::move(on_gone));
+  std::function<void()> on_disconnect = [call] { call->cancel(); };
+  exchange.on_disconnect(std::move(on_disconnect));
   context_.metrics.forwarded(region);
   transport::http_request out = make_request(request);
   unanswered_[region] += request.work.prompt_tokens;
@@ -130,7 +130,7 @@
   } else {
     outcome = co_await pass_back(request, *call, exchange);
   }
-  exchange.on_gone(nullptr);
+  exchange.on_disconnect(nullptr);
   note_acceptance(region, request.service, outcome);
   co_return outcome;
 }
@@ -141,7 +141,7 @@
   attempt out;
   out.sends = 1;
   out.ran = run_state::unknown;
-  transport::http_answer head = caller_head(call, *surfaces_.endpoints);
+  transport::http_response head = caller_head(call, *surfaces_.endpoints);
   const bool streamed = request.route->kind == config::route_kind::stream;
   if (!streamed) {
     result<std::string> body = co_await call.read_rest(max_plain_answer_bytes);
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -36,14 +36,15 @@
                                                 http_exchange& exchange) {
   const monotonic_time now = context_.clock.now();
   const bool waits = context_.state.is_catching_up(now) && accepting_ &&
-                     now < arrived + max_startup_wait && !exchange.gone();
+                     now < arrived + max_startup_wait &&
+                     !exchange.is_disconnected();
   if (!waits) co_return false;
   transport::timer timer(context_.io);
   timer.expires_after(startup_check_interval);
   boost::system::error_code ec;
   co_await timer.async_wait(
       boost::asio::redirect_error(boost::asio::use_awaitable, ec));
-  co_return !exchange.gone();
+  co_return !exchange.is_disconnected();
 }
 
 awaitable<void> route_handler::handle(http_exchange& exchange) {
@@ -122,9 +123,11 @@
   attempt outcome = co_await run(*request, exchange);
   local_.release_unused_sends(*request);
   record(*request, outcome);
-  if (outcome.delivered || exchange.answered() || exchange.gone()) co_return;
+  if (outcome.delivered || exchange.has_response_started() ||
+      exchange.is_disconnected())
+    co_return;
   if (outcome.endpoint_answer) {
-    transport::http_answer last_endpoint_answer =
+    transport::http_response last_endpoint_answer =
         std::move(*outcome.endpoint_answer);
     co_await exchange.respond(std::move(last_endpoint_answer));
     co_return;
@@ -149,7 +152,7 @@
                                        request.service + " now"),
                      retry_after_unavailable);
   bool may_have_run = false;
-  std::optional<transport::http_answer> last_endpoint_answer;
+  std::optional<transport::http_response> last_endpoint_answer;
   while (exhausted.size() < max_regions) {
     std::optional<attempt> refusal = local_.hold_refusal(request);
     if (refusal) {
@@ -176,7 +179,8 @@
       request.sends.record_sent(last.sends);
       if (!last.endpoint.empty()) request.avoid.insert(last.endpoint);
     }
-    if (last.delivered || exchange.answered() || exchange.gone()) {
+    if (last.delivered || exchange.has_response_started() ||
+        exchange.is_disconnected()) {
       last.delivered = true;
       co_return last;
     }
@@ -195,10 +199,10 @@
 awaitable<void> route_handler::refuse(const attempt& outcome,
                                       const std::string& request_id,
                                       http_exchange& exchange) {
-  if (exchange.answered() || exchange.gone()) co_return;
+  if (exchange.has_response_started() || exchange.is_disconnected()) co_return;
   const surface::refusal why{outcome.cause, outcome.ran, outcome.retry_after,
                              request_id};
-  transport::http_answer answer = surfaces_.callers->refuse(why);
+  transport::http_response answer = surfaces_.callers->refuse(why);
   co_await exchange.respond(std::move(answer));
 }
 
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -231,7 +231,8 @@
       co_return co_await resume(request, std::move(interrupted), events,
                                 exchange);
     }
-    if (last->delivered || exchange.answered() || exchange.gone()) {
+    if (last->delivered || exchange.has_response_started() ||
+        exchange.is_disconnected()) {
       last->delivered = true;
       co_return std::move(*last);
     }
@@ -292,7 +293,7 @@
                                          transport::http_exchange& exchange) {
   attempt last = std::move(interrupted);
   unsigned unsent = 0;
-  while (!exchange.gone()) {
+  while (!exchange.is_disconnected()) {
     const result<chosen_endpoint> chosen =
         choose_continuation(request, events, unsent);
     if (!chosen) {
@@ -312,7 +313,7 @@
         co_await runner_.run(request, *chosen, may_give_up, events, exchange);
     request.sends.record_sent(next.sends);
     request.avoid.insert(chosen->name);
-    const std::string outcome = outcome_of(next, exchange.gone());
+    const std::string outcome = outcome_of(next, exchange.is_disconnected());
     record_resumption(request, last, next, last_event, outcome);
     if (next.sends == 0) ++unsent;
     last = std::move(next);
--- a/node/src/config_watchers.cc
+++ b/node/src/config_watchers.cc
@@ -138,15 +138,15 @@
   return out;
 }
 
-const transport::packed_notification& config_watchers::packed_update(
+const transport::encoded_notification& config_watchers::packed_update(
     config::revision_number from) {
   const config::revision_number newest = machine_.store().revision();
   if (packed_revision_ != newest) packed_updates_.clear();
   packed_revision_ = newest;
   const auto known = packed_updates_.find(from);
   if (known != packed_updates_.end()) return known->second;
-  transport::packed_notification made =
-      transport::pack_notification(update_method, make_message(from));
+  transport::encoded_notification made =
+      transport::encode_notification(update_method, make_message(from));
   return packed_updates_.emplace(from, std::move(made)).first->second;
 }
 
--- a/node/src/config_watchers.h
+++ b/node/src/config_watchers.h
@@ -86,7 +86,7 @@
   json make_message(config::revision_number from) const;
   /// The compressed message with the changes after `from`, from the cache if
   /// possible.
-  const transport::packed_notification& packed_update(
+  const transport::encoded_notification& packed_update(
       config::revision_number from);
 
   node_context& context_;
@@ -95,7 +95,7 @@
   config::confirmation_tracker confirmations_;
   /// Messages that update to `packed_revision_`, by the revision that they
   /// start from.
-  std::map<config::revision_number, transport::packed_notification>
+  std::map<config::revision_number, transport::encoded_notification>
       packed_updates_;
   config::revision_number packed_revision_ = 0;
   consensus::term_number term_ = 0;
--- a/node/src/crash_reporter.cc
+++ b/node/src/crash_reporter.cc
@@ -53,8 +53,8 @@
   });
   json params;
   params["reports"] = std::move(reports);
-  const transport::packed_notification packed =
-      transport::pack_notification("crash.report", params);
+  const transport::encoded_notification packed =
+      transport::encode_notification("crash.report", params);
   for (const std::string& it : context_.control_addresses()) {
     context_.links.send(it, packed);
   }
--- a/node/src/endpoint_list_service.cc
+++ b/node/src/endpoint_list_service.cc
@@ -318,9 +318,9 @@
   return all;
 }
 
-transport::packed_notification endpoint_list_service::pack_update(
+transport::encoded_notification endpoint_list_service::pack_update(
     std::uint64_t since) const {
-  return transport::pack_notification(
+  return transport::encode_notification(
       "endpoints.listed",
       to_json(publisher_.update_since(since, context_.clock.now())));
 }
@@ -334,7 +334,7 @@
 
 void endpoint_list_service::send_updates() {
   // Serialized once for all gateways at the same version.
-  std::map<std::uint64_t, transport::packed_notification> updates;
+  std::map<std::uint64_t, transport::encoded_notification> updates;
   const monotonic_time now = context_.clock.now();
   for (const membership::node_record* it :
        context_.nodes.other_gateways(context_.self, now)) {
--- a/node/src/endpoint_list_service.h
+++ b/node/src/endpoint_list_service.h
@@ -68,7 +68,7 @@
   /// Requests the full list from `gateway`.
   void request_list(const std::string& gateway);
   void send_update(const std::string& gateway, const std::string& address);
-  transport::packed_notification pack_update(std::uint64_t since) const;
+  transport::encoded_notification pack_update(std::uint64_t since) const;
   void send_updates();
   /// Records that a list was received from `reader`, and logs a change of
   /// reader.
--- a/node/src/entry_handlers.cc
+++ b/node/src/entry_handlers.cc
@@ -9,9 +9,9 @@
 namespace {
 
 using transport::awaitable;
-using transport::http_answer;
+using transport::http_response;
 
-http_answer unknown_call(const surface::entry_surface& surface) {
+http_response unknown_call(const surface::entry_surface& surface) {
   return surface.refuse({error_kind::not_found, "there is no such call", ""});
 }
 
@@ -58,7 +58,7 @@
   const result<std::string> body = co_await exchange.read_body();
   const std::optional<membership::entry_query> query =
       surface_->read_query(exchange.method(), exchange.target());
-  http_answer out;
+  http_response out;
   if (!query || !body) {
     out = unknown_call(*surface_);
   } else {
@@ -84,7 +84,7 @@
   const result<std::string> body = co_await exchange.read_body();
   const bool asked =
       surface_->is_readiness_query(exchange.method(), exchange.target());
-  http_answer out;
+  http_response out;
   if (asked && body) {
     const surface::node_report report{
         context_.state.serves_callers() && context_.store.plan() != nullptr,
--- a/node/src/hold_proposer.cc
+++ b/node/src/hold_proposer.cc
@@ -53,8 +53,8 @@
   json params;
   json& all = params["fingerprints"] = json(Json::arrayValue);
   for (const std::string& it : fingerprints) all.append(it);
-  const transport::packed_notification packed =
-      transport::pack_notification(method, params);
+  const transport::encoded_notification packed =
+      transport::encode_notification(method, params);
   const monotonic_time now = context_.clock.now();
   for (const membership::node_record* it : context_.nodes.all()) {
     const bool gateway = !it->last.node.forward_address.empty();
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -111,7 +111,7 @@
 
 transport::peer_options peer_options_of(const settings& options) {
   transport::peer_options out;
-  out.silence = options.timing.connection_silence;
+  out.tcp_user_timeout = options.timing.connection_silence;
   out.source_ip = options.outgoing_ip;
   out.own_address = options.advertised_peers;
   if (options.surface == surface_kind::platform) {
@@ -122,11 +122,11 @@
 
 transport::http_client_options client_options_of(const settings& options) {
   transport::http_client_options out;
-  out.silence = options.timing.connection_silence;
+  out.tcp_user_timeout = options.timing.connection_silence;
   out.source_ip = options.outgoing_ip;
   if (options.surface == surface_kind::platform) {
-    out.accept_unframed = true;
-    out.keep_idle = idle_connection_lifetime;
+    out.accept_close_delimited = true;
+    out.idle_timeout = idle_connection_lifetime;
     out.connect_timeout = endpoint_connect_timeout;
   }
   return out;
@@ -347,12 +347,12 @@
     result<void> started = control->start();
     if (!started) return started;
   }
-  links.set_on_lost([this](const std::string& address) {
+  links.set_on_connection_lost([this](const std::string& address) {
     log_event(log_level::info, "peer-connection-lost", {{"peer", address}});
     if (control) control->connection_lost(address);
   });
-  peer_server.set_on_reopened(
-      [this](const std::string& address) { links.renew(address); });
+  peer_server.set_on_peer_reconnected(
+      [this](const std::string& address) { links.reconnect(address); });
   watch.on_changed = [this] {
     declare_endpoints();
     if (routed()) routed_services.apply_plan(entry_server);
@@ -411,7 +411,7 @@
   while (!stop.ended()) {
     const monotonic_time now = resources.clock.now();
     record_tick_delay(due);
-    client.end_overdue(now);
+    client.cancel_expired(now);
     reload_if_changed(false);
     state.tick(now, store.revision() > 0);
     if (control) control->tick();
@@ -467,7 +467,7 @@
   set("platform_entries_unreadable",
       static_cast<double>(routed_services.unreadable_entries()));
   set("peer_strangers_refused",
-      static_cast<double>(peer_server.traffic().strangers_refused));
+      static_cast<double>(peer_server.traffic().unauthenticated_refused));
 }
 
 awaitable<void> node::implementation::wait_for_signals() {
--- a/node/src/operator_service.cc
+++ b/node/src/operator_service.cc
@@ -495,7 +495,7 @@
 }
 
 awaitable<void> operator_service::handle(transport::http_exchange& exchange) {
-  transport::http_answer answer;
+  transport::http_response answer;
   const std::string target(exchange.target());
   if (target == "/metrics" && exchange.method() == "GET") {
     answer.content_type = "text/plain; version=0.0.4";
@@ -521,7 +521,7 @@
     status = 401;
   }
   answer =
-      transport::problem_answer(status, cause, "no", std::chrono::seconds(0));
+      transport::problem_response(status, cause, "no", std::chrono::seconds(0));
   co_await exchange.respond(std::move(answer));
 }
 
--- a/node/src/order_handler.cc
+++ b/node/src/order_handler.cc
@@ -13,7 +13,7 @@
 using surface::operator_order;
 using surface::order_kind;
 using transport::awaitable;
-using transport::http_answer;
+using transport::http_response;
 
 // Time limit for an answer. Operators try another node after 1 s, so a later
 // answer is useless.
@@ -130,7 +130,7 @@
   const monotonic_time started = context_.clock.now();
   const result<std::string> body = co_await exchange.read_body();
   const monotonic_time read = context_.clock.now();
-  std::optional<http_answer> out;
+  std::optional<http_response> out;
   if (body) {
     out = co_await answer(exchange, *body);
   } else {
@@ -150,7 +150,7 @@
              {"write_ms", ms_between(answered, context_.clock.now())}});
 }
 
-awaitable<std::optional<http_answer>> order_handler::answer(
+awaitable<std::optional<http_response>> order_handler::answer(
     transport::http_exchange& exchange, const std::string& body) {
   const std::string method(exchange.method());
   const std::string target(exchange.target());
@@ -162,7 +162,7 @@
     co_return surface_->refuse(order.error());
   }
   const monotonic_time deadline = context_.clock.now() + answer_timeout;
-  http_answer out;
+  http_response out;
   if (order->kind == order_kind::read_plan) {
     const config::plan_ptr plan = control_->machine().store().plan();
     const bool large = plan && plan->document.size() >= min_streamed_bytes;
@@ -191,8 +191,8 @@
   }
 }
 
-awaitable<http_answer> order_handler::change(operator_order order,
-                                             monotonic_time deadline) {
+awaitable<http_response> order_handler::change(operator_order order,
+                                               monotonic_time deadline) {
   if (order.plan) {
     const result<void> valid = config::validate_plan(*order.plan);
     if (!valid) co_return surface_->refuse(valid.error());
@@ -251,7 +251,7 @@
       std::make_shared<pending_result<result<json>>>(context_.io);
   control_->orders().read(
       [pending](const result<json>& it) { pending->deliver(it); });
-  http_answer head = surface_->show_plan(*plan);
+  http_response head = surface_->show_plan(*plan);
   std::string body = std::exchange(head.body, {});
   const std::size_t size = body.size();
   const std::string end = body.substr(size - withheld_bytes);
@@ -274,7 +274,7 @@
              {"caller", sent ? "stayed" : "left"}});
 }
 
-awaitable<http_answer> order_handler::read_plan(monotonic_time deadline) {
+awaitable<http_response> order_handler::read_plan(monotonic_time deadline) {
   std::optional<result<json>> confirmed = co_await confirm(deadline);
   while (confirmed && !*confirmed && is_transient(confirmed->error()) &&
          context_.clock.now() + retry_delay < deadline) {
--- a/node/src/order_handler.h
+++ b/node/src/order_handler.h
@@ -30,12 +30,12 @@
 
  private:
   /// The answer to send; nullopt if it has been streamed.
-  transport::awaitable<std::optional<transport::http_answer>> answer(
+  transport::awaitable<std::optional<transport::http_response>> answer(
       transport::http_exchange& exchange, const std::string& body);
   /// Waits while this node is leader but its lease has lapsed.
   transport::awaitable<void> wait_for_lease(monotonic_time deadline);
   /// Proposes a change until it is decided, retrying transient failures.
-  transport::awaitable<transport::http_answer> change(
+  transport::awaitable<transport::http_response> change(
       surface::operator_order order, monotonic_time deadline);
   /// Proposes the order once. Returns nullopt if there is no result by
   /// `deadline`.
@@ -51,7 +51,7 @@
   /// nullopt if that doesn't happen by `deadline`.
   transport::awaitable<std::optional<result<json>>> confirm(
       monotonic_time deadline);
-  transport::awaitable<transport::http_answer> read_plan(
+  transport::awaitable<transport::http_response> read_plan(
       monotonic_time deadline);
 
   node_context& context_;
--- a/node/src/planned_stop.cc
+++ b/node/src/planned_stop.cc
@@ -46,7 +46,7 @@
 
 awaitable<void> planned_stop::finish() {
   const monotonic_time started = context_.clock.now();
-  services_.entry_server.close_after_answers();
+  services_.entry_server.disable_keep_alive();
   transport::timer timer(context_.io);
   while (!may_end(started)) {
     timer.expires_after(check_interval);
--- a/node/src/settings.h
+++ b/node/src/settings.h
@@ -39,7 +39,8 @@
   std::chrono::milliseconds platform_list_lag{1000};
   /// An open connection to a node or an endpoint counts as lost after this time
   /// without a packet from the remote system, acknowledgements included.
-  std::chrono::milliseconds connection_silence{transport::usual_silence};
+  std::chrono::milliseconds connection_silence{
+      transport::default_tcp_user_timeout};
   std::chrono::milliseconds drain_timeout{60'000};
   /// How long a node accepts new requests after a planned stop has begun.
   /// Callers stop using it only after their next query of the directory.
--- a/own/include/trestlepost/own/codecs.h
+++ b/own/include/trestlepost/own/codecs.h
@@ -22,7 +22,7 @@
   /// draws one. The host is left out, since nothing is matched against it.
   result<surface::call_head> read_head(
       const transport::http_exchange& exchange) const override;
-  transport::http_answer refuse(const surface::refusal& why) const override;
+  transport::http_response refuse(const surface::refusal& why) const override;
 };
 
 /// Requests to endpoints, and the heads of their answers.
@@ -59,16 +59,16 @@
       std::string_view method, std::string_view target) const override;
   /// The labels of the requests that the caller wants an entry for.
   result<config::label_map> read_labels(std::string_view target) const;
-  transport::http_answer show_entries(
+  transport::http_response show_entries(
       const std::vector<membership::entry_view>& entries,
       std::chrono::milliseconds lifetime) const override;
   bool is_readiness_query(std::string_view method,
                           std::string_view target) const override;
   /// Whether the call asks only if the process answers.
   bool asks_health(std::string_view target) const;
-  transport::http_answer show_readiness(
+  transport::http_response show_readiness(
       const surface::node_report& node) const override;
-  transport::http_answer refuse(const error& why) const override;
+  transport::http_response refuse(const error& why) const override;
 };
 
 /// The HTTP status of a refusal.
--- a/own/src/caller_codec.cc
+++ b/own/src/caller_codec.cc
@@ -78,9 +78,10 @@
   return out;
 }
 
-transport::http_answer caller_codec::refuse(const surface::refusal& why) const {
+transport::http_response caller_codec::refuse(
+    const surface::refusal& why) const {
   // Callers know whole seconds only.
-  transport::http_answer out = transport::problem_answer(
+  transport::http_response out = transport::problem_response(
       status_of(why.cause.kind), why.cause, to_string(why.ran),
       std::chrono::ceil<std::chrono::seconds>(why.retry_after));
   if (!why.request_id.empty()) {
--- a/own/src/entry_codec.cc
+++ b/own/src/entry_codec.cc
@@ -61,14 +61,14 @@
   return parse_labels(decode_query(query_value(target, "labels")));
 }
 
-transport::http_answer entry_codec::show_entries(
+transport::http_response entry_codec::show_entries(
     const std::vector<membership::entry_view>& entries,
     std::chrono::milliseconds lifetime) const {
   json body;
   json& list = body["entries"] = json(Json::arrayValue);
   for (const membership::entry_view& it : entries) list.append(to_json(it));
   body["valid_for_ms"] = as_number(lifetime);
-  transport::http_answer out;
+  transport::http_response out;
   out.body = to_text(body);
   return out;
 }
@@ -82,20 +82,20 @@
   return path_of(target) == health_path;
 }
 
-transport::http_answer entry_codec::show_readiness(
+transport::http_response entry_codec::show_readiness(
     const surface::node_report& node) const {
   json body;
   body["state"] = node.state;
   body["revision"] = as_number(node.revision);
-  transport::http_answer out;
+  transport::http_response out;
   out.status = node.ready ? 200 : 503;
   out.body = to_text(body);
   return out;
 }
 
-transport::http_answer entry_codec::refuse(const error& why) const {
-  return transport::problem_answer(status_of(why.kind), why, "no",
-                                   std::chrono::seconds(0));
+transport::http_response entry_codec::refuse(const error& why) const {
+  return transport::problem_response(status_of(why.kind), why, "no",
+                                     std::chrono::seconds(0));
 }
 
 }  // namespace trestlepost::own
--- a/own/test/caller_codec-test.cc
+++ b/own/test/caller_codec-test.cc
@@ -132,7 +132,7 @@
   for (const refusal_example& it : table) {
     const surface::refusal why{
         {it.kind, "m", "r"}, it.ran, it.retry_after, "r-1"};
-    const transport::http_answer answer = caller_codec().refuse(why);
+    const transport::http_response answer = caller_codec().refuse(why);
     const std::string_view name = to_string(it.kind);
     EXPECT_EQ(answer.status, it.status) << name;
     EXPECT_EQ(answer.content_type, "application/problem+json") << name;
@@ -151,7 +151,7 @@
 
 TEST(caller_codec_test, a_refusal_without_id_names_none) {
   const surface::refusal why{{error_kind::draining, "m", "r"}};
-  const transport::http_answer answer = caller_codec().refuse(why);
+  const transport::http_response answer = caller_codec().refuse(why);
   for (const auto& [name, text] : answer.headers) {
     EXPECT_NE(name, "X-Request-Id");
   }
--- a/own/test/entry_codec-test.cc
+++ b/own/test/entry_codec-test.cc
@@ -60,7 +60,7 @@
 }
 
 TEST(entry_codec_test, entries_are_told_with_their_lifetime) {
-  const transport::http_answer answer = entry_codec().show_entries(
+  const transport::http_response answer = entry_codec().show_entries(
       {{"n", "1.2.3.4:5", "r", "z", "ready"}, {"m", "1.2.3.4:6", "s", "y", ""}},
       milliseconds(1500));
   EXPECT_EQ(answer.status, 200U);
@@ -75,7 +75,7 @@
   EXPECT_EQ(text_of(entries[0], "region"), "r");
   EXPECT_EQ(text_of(entries[0], "availability_zone"), "z");
   EXPECT_EQ(text_of(entries[0], "state"), "ready");
-  const transport::http_answer none =
+  const transport::http_response none =
       entry_codec().show_entries({}, milliseconds(1));
   EXPECT_EQ(none.body, R"({"entries":[],"valid_for_ms":1})");
 }
@@ -95,18 +95,18 @@
 }
 
 TEST(entry_codec_test, a_node_tells_its_state) {
-  const transport::http_answer ready =
+  const transport::http_response ready =
       entry_codec().show_readiness({true, "ready", 7});
   EXPECT_EQ(ready.status, 200U);
   EXPECT_EQ(ready.body, R"({"revision":7,"state":"ready"})");
-  const transport::http_answer starting =
+  const transport::http_response starting =
       entry_codec().show_readiness({false, "starting", 0});
   EXPECT_EQ(starting.status, 503U);
   EXPECT_EQ(starting.body, R"({"revision":0,"state":"starting"})");
 }
 
 TEST(entry_codec_test, refusals_are_problems) {
-  const transport::http_answer unknown =
+  const transport::http_response unknown =
       entry_codec().refuse({error_kind::not_found, "m", "r"});
   EXPECT_EQ(unknown.status, 404U);
   EXPECT_EQ(unknown.content_type, "application/problem+json");
--- a/surface/include/trestlepost/surface/caller_surface.h
+++ b/surface/include/trestlepost/surface/caller_surface.h
@@ -30,7 +30,7 @@
   virtual result<call_head> read_head(
       const transport::http_exchange& exchange) const = 0;
 
-  virtual transport::http_answer refuse(const refusal& why) const = 0;
+  virtual transport::http_response refuse(const refusal& why) const = 0;
 };
 
 }  // namespace trestlepost::surface
--- a/surface/include/trestlepost/surface/entry_surface.h
+++ b/surface/include/trestlepost/surface/entry_surface.h
@@ -30,16 +30,16 @@
   virtual std::optional<membership::entry_query> read_query(
       std::string_view method, std::string_view target) const = 0;
 
-  virtual transport::http_answer show_entries(
+  virtual transport::http_response show_entries(
       const std::vector<membership::entry_view>& entries,
       std::chrono::milliseconds lifetime) const = 0;
 
   /// Returns whether the call is a readiness check of this node.
   virtual bool is_readiness_query(std::string_view method,
                                   std::string_view target) const = 0;
-  virtual transport::http_answer show_readiness(
+  virtual transport::http_response show_readiness(
       const node_report& node) const = 0;
-  virtual transport::http_answer refuse(const error& why) const = 0;
+  virtual transport::http_response refuse(const error& why) const = 0;
 };
 
 }  // namespace trestlepost::surface
--- a/surface/include/trestlepost/surface/operators_surface.h
+++ b/surface/include/trestlepost/surface/operators_surface.h
@@ -29,13 +29,13 @@
                                             const std::string& body) const = 0;
 
   /// Formats the response for an order that is committed or needed no change.
-  virtual transport::http_answer acknowledge(
+  virtual transport::http_response acknowledge(
       const operator_order& order) const = 0;
-  virtual transport::http_answer show_plan(
+  virtual transport::http_response show_plan(
       const config::traffic_plan& plan) const = 0;
   /// Formats an error. `bad_input` is final; the client may retry after any
   /// other kind.
-  virtual transport::http_answer refuse(const error& why) const = 0;
+  virtual transport::http_response refuse(const error& why) const = 0;
 };
 
 }  // namespace trestlepost::surface
--- a/surface/test/fake_messages.h
+++ b/surface/test/fake_messages.h
@@ -33,13 +33,13 @@
   transport::awaitable<result<std::string>> read_body() override {
     co_return std::string();
   }
-  transport::awaitable<bool> respond(transport::http_answer) override {
+  transport::awaitable<bool> respond(transport::http_response) override {
     co_return true;
   }
-  transport::awaitable<bool> start_stream(transport::http_answer) override {
+  transport::awaitable<bool> start_stream(transport::http_response) override {
     co_return true;
   }
-  transport::awaitable<bool> start_sized_stream(transport::http_answer,
+  transport::awaitable<bool> start_sized_stream(transport::http_response,
                                                 std::size_t) override {
     co_return true;
   }
@@ -48,9 +48,9 @@
   }
   transport::awaitable<bool> finish_stream() override { co_return true; }
   void abort() override {}
-  bool answered() const override { return false; }
-  bool gone() const override { return false; }
-  void on_gone(std::function<void()>) override {}
+  bool has_response_started() const override { return false; }
+  bool is_disconnected() const override { return false; }
+  void on_disconnect(std::function<void()>) override {}
 };
 
 /// An endpoint's response with the head set by a test.
@@ -70,7 +70,7 @@
   }
   transport::header_list headers() const override { return all; }
   transport::awaitable<tl::expected<void, transport::call_failure>>
-  next_answer() override {
+  read_next_response() override {
     co_return tl::expected<void, transport::call_failure>();
   }
   transport::awaitable<result<std::string>> read_piece() override {
--- a/tests/test/suspension-test.cc
+++ b/tests/test/suspension-test.cc
@@ -90,7 +90,7 @@
         io_.restart();
         io_.run_one();
       }
-      client_.end_overdue(boot_clock::now());
+      client_.cancel_expired(boot_clock::now());
     }
     return done();
   }
--- a/transport/include/trestlepost/transport/asio.h
+++ b/transport/include/trestlepost/transport/asio.h
@@ -28,7 +28,7 @@
 /// Converts a time for interfaces that only support `steady_clock`. If the
 /// machine is suspended before that time, the result is late by the length of
 /// the suspension.
-std::chrono::steady_clock::time_point steady_time(monotonic_time at);
+std::chrono::steady_clock::time_point to_steady_time(monotonic_time at);
 
 /// Parses "IP:PORT".
 result<tcp::endpoint> parse_address(const std::string& text);
@@ -40,19 +40,20 @@
 /// Sets the options of a connection that this node opened: TCP_NODELAY,
 /// keep-alive probes every second, and a TCP user timeout. The connection fails
 /// with a timeout if the remote host acknowledges neither data nor probes for
-/// `silence`. An idle connection may last up to 2 s longer, because probes are
-/// sent at whole seconds.
-void set_opened_options(tcp::socket& socket, std::chrono::milliseconds silence);
+/// `tcp_user_timeout`. An idle connection may last up to 2 s longer, because
+/// probes are sent at whole seconds.
+void set_outgoing_options(tcp::socket& socket,
+                          std::chrono::milliseconds tcp_user_timeout);
 
 /// Default TCP user timeout of outgoing connections. Two round trips of 160 ms
 /// with three lost packets take less.
-inline constexpr std::chrono::milliseconds usual_silence{2000};
+inline constexpr std::chrono::milliseconds default_tcp_user_timeout{2000};
 
 /// Opens `socket` and binds it to `source_ip` for a connection to `to`. Does
 /// nothing if `source_ip` is empty, so that the system selects the address, and
 /// leaves an error to the attempt to connect.
-void open_from(tcp::socket& socket, const tcp::endpoint& to,
-               const std::string& source_ip);
+void open_and_bind(tcp::socket& socket, const tcp::endpoint& to,
+                   const std::string& source_ip);
 
 /// Opens a listening socket. Returns `bad_settings` if the address is in use or
 /// not local.
--- a/transport/include/trestlepost/transport/http_client.h
+++ b/transport/include/trestlepost/transport/http_client.h
@@ -16,15 +16,15 @@
 struct http_client_options {
   std::chrono::milliseconds connect_timeout{1000};
   /// A pooled connection that has been idle for longer is not reused.
-  std::chrono::milliseconds keep_idle{5000};
+  std::chrono::milliseconds idle_timeout{5000};
   /// TCP user timeout: a connection fails, also while it is idle or waits for a
   /// response, if the remote host acknowledges nothing for this long.
-  std::chrono::milliseconds silence{usual_silence};
-  std::size_t most_kept = 64;  // connections per address
-  std::string source_ip;       // of outgoing connections; empty: any
+  std::chrono::milliseconds tcp_user_timeout{default_tcp_user_timeout};
+  std::size_t max_idle_per_address = 64;  // connections per address
+  std::string source_ip;                  // of outgoing connections; empty: any
   /// Accepts a response without length, which ends when the server closes the
   /// connection. A connection reset is still an error.
-  bool accept_unframed = false;
+  bool accept_close_delimited = false;
 };
 
 /// Request with its whole body. `Host` and `Content-Length` are added.
@@ -47,8 +47,8 @@
 /// Outcome of an attempt to connect.
 enum class connect_outcome {
   opened,
-  refused,  // the VM responds, but no process listens on the port
-  silent    // any other failure, such as no response in time
+  refused,     // the VM responds, but no process listens on the port
+  unreachable  // any other failure, such as no response in time
 };
 
 class http_client;
@@ -73,7 +73,7 @@
 
   /// Discards this response, which belongs to another request, and reads the
   /// head of the next one on the same connection.
-  virtual awaitable<tl::expected<void, call_failure>> next_answer() = 0;
+  virtual awaitable<tl::expected<void, call_failure>> read_next_response() = 0;
 
   /// Reads the next piece of the body. Returns an empty string at its end, and
   /// an error if the response is truncated.
@@ -102,7 +102,7 @@
 
   /// Cancels the calls whose deadline has passed. Their timers do so as well,
   /// but after a suspension of the machine they are late by its length.
-  void end_overdue(monotonic_time now);
+  void cancel_expired(monotonic_time now);
 
   /// Closes all idle connections and disables pooling.
   void close();
--- a/transport/include/trestlepost/transport/http_server.h
+++ b/transport/include/trestlepost/transport/http_server.h
@@ -22,14 +22,14 @@
   std::chrono::milliseconds body_timeout{30'000};
   std::chrono::milliseconds idle_timeout{60'000};
   std::chrono::milliseconds write_timeout{30'000};
-  std::size_t most_connections = 20'000;
+  std::size_t max_connections = 20'000;
 };
 
 /// Names and values of headers, in order.
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
 /// Response with its whole body, or the head of a streamed one.
-struct http_answer {
+struct http_response {
   unsigned status = 200;
   std::string content_type = "application/json";
   header_list headers;
@@ -54,14 +54,14 @@
   virtual awaitable<result<std::string>> read_body() = 0;
 
   /// Sends a complete response. Returns false if a response has been started.
-  virtual awaitable<bool> respond(http_answer answer) = 0;
+  virtual awaitable<bool> respond(http_response response) = 0;
 
   /// Starts a response whose body is sent in pieces, in chunked encoding.
   /// Without `finish_stream` the caller receives an incomplete response.
-  virtual awaitable<bool> start_stream(http_answer head) = 0;
+  virtual awaitable<bool> start_stream(http_response head) = 0;
   /// Like `start_stream`, but with a Content-Length of `length` bytes, the
   /// total size of the pieces.
-  virtual awaitable<bool> start_sized_stream(http_answer head,
+  virtual awaitable<bool> start_sized_stream(http_response head,
                                              std::size_t length) = 0;
   virtual awaitable<bool> write_piece(std::string piece) = 0;
   virtual awaitable<bool> finish_stream() = 0;
@@ -70,12 +70,12 @@
   virtual void abort() = 0;
 
   /// Returns whether any part of a response was sent.
-  virtual bool answered() const = 0;
+  virtual bool has_response_started() const = 0;
   /// Returns whether the caller has disconnected.
-  virtual bool gone() const = 0;
+  virtual bool is_disconnected() const = 0;
   /// Sets the action to call if the caller disconnects before the response is
   /// complete; nullptr removes it.
-  virtual void on_gone(std::function<void()> action) = 0;
+  virtual void on_disconnect(std::function<void()> action) = 0;
 };
 
 /// Handles the requests of a server.
@@ -99,7 +99,7 @@
   const http_server_options& options() const;
   /// Closes each connection after its response. New connections are still
   /// accepted.
-  void close_after_answers();
+  void disable_keep_alive();
   /// Stops accepting connections, closes idle ones and each other one after its
   /// response.
   void drain();
@@ -116,8 +116,8 @@
 /// Makes the response to a request that cannot be served: problem+json
 /// (RFC 9457) with `kind`, `ran`, `detail` and `remedy`, and a Retry-After
 /// header if `retry_after` is positive.
-http_answer problem_answer(unsigned status, const error& cause,
-                           std::string_view ran,
-                           std::chrono::seconds retry_after);
+http_response problem_response(unsigned status, const error& cause,
+                               std::string_view ran,
+                               std::chrono::seconds retry_after);
 
 }  // namespace trestlepost::transport
--- a/transport/include/trestlepost/transport/peer_links.h
+++ b/transport/include/trestlepost/transport/peer_links.h
@@ -31,7 +31,7 @@
   std::chrono::milliseconds connect_timeout{2000};
   /// TCP user timeout: a connection is replaced if the peer's host acknowledges
   /// nothing for this long.
-  std::chrono::milliseconds silence{usual_silence};
+  std::chrono::milliseconds tcp_user_timeout{default_tcp_user_timeout};
   /// Address at which this node accepts peers. It is sent to a peer after a
   /// connection to it was lost, unless it is empty.
   std::string own_address;
@@ -44,17 +44,17 @@
   std::uint64_t messages_sent = 0;
   std::uint64_t messages_received = 0;
   std::uint64_t messages_dropped = 0;
-  std::uint64_t strangers_refused = 0;
+  std::uint64_t unauthenticated_refused = 0;
 };
 
 /// Notification that is serialized and compressed once, then sent to any number
 /// of peers.
-struct packed_notification {
+struct encoded_notification {
   std::shared_ptr<const std::string> payload;
 };
 
-packed_notification pack_notification(const std::string& method,
-                                      const json& params);
+encoded_notification encode_notification(const std::string& method,
+                                         const json& params);
 
 /// Sends notifications to peers. Connects to a peer on its first notification.
 class peer_links {
@@ -67,7 +67,7 @@
   /// full.
   void send(const std::string& address, const std::string& method,
             const json& params);
-  void send(const std::string& address, const packed_notification& packed);
+  void send(const std::string& address, const encoded_notification& encoded);
 
   /// Replaces the set of peers to which connections are opened and restored
   /// even if nothing is queued. The first message to another peer is delayed by
@@ -77,14 +77,15 @@
   /// Sets the action to call after an established connection is lost. Messages
   /// that were queued or recently sent may be lost; later ones are sent over
   /// the next connection.
-  void set_on_lost(std::function<void(const std::string& address)> on_lost);
+  void set_on_connection_lost(
+      std::function<void(const std::string& address)> on_connection_lost);
 
   /// Replaces the connection to `address`, after that peer reported that it had
   /// to reopen its own connection to this node. Without it, this node may
   /// detect the failure up to 2 s later, since the gaps between TCP
   /// retransmissions double. Does nothing if the connection is newer than the
   /// TCP user timeout.
-  void renew(const std::string& address);
+  void reconnect(const std::string& address);
 
   const peer_traffic& traffic() const;
   /// Closes all connections and drops what is queued.
@@ -110,8 +111,8 @@
 
   /// Sets the action to call when the peer that accepts connections at
   /// `address` has reconnected after it lost a connection to this node.
-  void set_on_reopened(
-      std::function<void(const std::string& address)> on_reopened);
+  void set_on_peer_reconnected(
+      std::function<void(const std::string& address)> on_peer_reconnected);
 
   const peer_traffic& traffic() const;
   void close();
--- a/transport/include/trestlepost/transport/rpc.h
+++ b/transport/include/trestlepost/transport/rpc.h
@@ -48,6 +48,6 @@
                                   const json& params);
 
 /// Parses a response. Returns its result, or the error that it contains.
-result<json> read_rpc_answer(const std::string& text);
+result<json> parse_rpc_response(const std::string& text);
 
 }  // namespace trestlepost::transport
--- a/transport/src/http_client.cc
+++ b/transport/src/http_client.cc
@@ -39,7 +39,7 @@
   /// endpoint may respond before it has read a long body.
   std::string outgoing;
   std::size_t written = 0;
-  monotonic_time keep_until;
+  monotonic_time reusable_until;
 
   bool write_done() const { return written == outgoing.size(); }
 };
@@ -87,7 +87,7 @@
 
 /// Returns whether an idle connection may be reused: the server has not closed
 /// it, and has sent no data without a request.
-bool is_silent(client_connection& it) {
+bool is_reusable(client_connection& it) {
   if (it.buffer.size() != 0) return false;
   char byte = 0;
   const ssize_t n = ::recv(it.stream.socket().native_handle(), &byte, 1,
@@ -105,26 +105,26 @@
 
   /// Removes a reusable connection to `address` from the pool. Returns nullptr
   /// if there is none.
-  connection_ptr take(const std::string& address) {
-    std::deque<connection_ptr>& kept = idle[address];
+  connection_ptr acquire(const std::string& address) {
+    std::deque<connection_ptr>& pooled = idle[address];
     const monotonic_time now = boot_clock::now();
-    while (!kept.empty()) {
-      connection_ptr it = std::move(kept.back());
-      kept.pop_back();
-      if (it->keep_until < now) continue;
-      if (is_silent(*it)) return it;
+    while (!pooled.empty()) {
+      connection_ptr it = std::move(pooled.back());
+      pooled.pop_back();
+      if (it->reusable_until < now) continue;
+      if (is_reusable(*it)) return it;
     }
     return nullptr;
   }
 
   /// Adds a connection to the pool for `lifetime`, unless the pool is full.
-  void keep(const std::string& address, connection_ptr it,
-            std::chrono::milliseconds lifetime) {
-    std::deque<connection_ptr>& kept = idle[address];
-    if (closed || kept.size() >= options.most_kept) return;
-    it->keep_until = boot_clock::now() + lifetime;
+  void release(const std::string& address, connection_ptr it,
+               std::chrono::milliseconds lifetime) {
+    std::deque<connection_ptr>& pooled = idle[address];
+    if (closed || pooled.size() >= options.max_idle_per_address) return;
+    it->reusable_until = boot_clock::now() + lifetime;
     it->stream.expires_never();
-    kept.push_back(std::move(it));
+    pooled.push_back(std::move(it));
   }
 
   asio::io_context& context;
@@ -149,11 +149,11 @@
       http_request request, monotonic_time deadline) override;
   void set_deadline(monotonic_time deadline) override {
     deadline_ = deadline;
-    if (connection_) connection_->stream.expires_at(steady_time(deadline));
+    if (connection_) connection_->stream.expires_at(to_steady_time(deadline));
   }
   /// Cancels the call if its deadline has passed, even if its timer has not
   /// expired.
-  void end_if_overdue(monotonic_time now);
+  void cancel_if_expired(monotonic_time now);
   unsigned status() const override { return parser_->get().result_int(); }
   std::string_view header(std::string_view name) const override {
     const auto it = parser_->get().find({name.data(), name.size()});
@@ -161,14 +161,14 @@
     return {it->value().data(), it->value().size()};
   }
   header_list headers() const override { return list_headers(parser_->get()); }
-  awaitable<tl::expected<void, call_failure>> next_answer() override;
+  awaitable<tl::expected<void, call_failure>> read_next_response() override;
   awaitable<result<std::string>> read_piece() override;
   awaitable<result<std::string>> read_rest(std::size_t limit) override;
   void cancel() override;
 
  private:
   awaitable<error_code> connect(monotonic_time deadline);
-  std::string head_of(const http_request& request) const;
+  std::string serialize_head(const http_request& request) const;
   void start_write(const http_request& request);
   awaitable<tl::expected<void, call_failure>> read_head();
   /// Maps the error of a failed operation to the error kind of the call.
@@ -177,16 +177,16 @@
   call_failure failure(const std::string& what, error_code ec, bool written);
   /// Returns the connection to the pool after a complete response, if it can be
   /// reused.
-  void finish();
+  void release_connection();
 
   std::shared_ptr<http_client::state> client_;
   std::string address_;
   connection_ptr connection_;
   std::optional<http::response_parser<http::buffer_body>> parser_;
   bool cancelled_ = false;
-  bool overdue_ = false;
+  bool deadline_passed_ = false;
   monotonic_time deadline_ = monotonic_time::max();
-  bool head_only_ = false;  // the request's method is HEAD
+  bool is_head_request_ = false;  // the request's method is HEAD
 };
 
 void pooled_call::cancel() {
@@ -196,22 +196,22 @@
   connection_->stream.socket().close(ec);
 }
 
-void pooled_call::end_if_overdue(monotonic_time now) {
-  if (now < deadline_ || overdue_ || !connection_) return;
-  overdue_ = true;
+void pooled_call::cancel_if_expired(monotonic_time now) {
+  if (now < deadline_ || deadline_passed_ || !connection_) return;
+  deadline_passed_ = true;
   error_code ec;
   connection_->stream.socket().close(ec);
 }
 
 error_kind pooled_call::kind_of(error_code ec) const {
-  const bool late = overdue_ || ec == beast::error::timeout;
-  return late ? error_kind::deadline : error_kind::endpoint_failed;
+  const bool timed_out = deadline_passed_ || ec == beast::error::timeout;
+  return timed_out ? error_kind::deadline : error_kind::endpoint_failed;
 }
 
 call_failure pooled_call::failure(const std::string& what, error_code ec,
                                   bool written) {
   call_failure out;
-  if (overdue_) ec = beast::error::timeout;
+  if (deadline_passed_) ec = beast::error::timeout;
   const error_kind kind = kind_of(ec);
   out.cause = {kind, what + " " + address_ + ": " + ec.message(),
                endpoint_remedy};
@@ -227,25 +227,26 @@
                            monotonic_time deadline) {
   const result<tcp::endpoint> at = parse_address(address);
   if (!at) co_return asio::error::invalid_argument;
-  const monotonic_time latest =
+  const monotonic_time connect_deadline =
       boot_clock::now() + client.options.connect_timeout;
-  it.stream.expires_at(steady_time(std::min(latest, deadline)));
-  open_from(it.stream.socket(), *at, client.options.source_ip);
+  it.stream.expires_at(to_steady_time(std::min(connect_deadline, deadline)));
+  open_and_bind(it.stream.socket(), *at, client.options.source_ip);
   error_code ec;
   co_await it.stream.async_connect(*at, redirect_error(use_awaitable, ec));
-  if (!ec) set_opened_options(it.stream.socket(), client.options.silence);
+  if (!ec)
+    set_outgoing_options(it.stream.socket(), client.options.tcp_user_timeout);
   co_return ec;
 }
 
 awaitable<error_code> pooled_call::connect(monotonic_time deadline) {
-  connection_ = client_->take(address_);
+  connection_ = client_->acquire(address_);
   if (connection_) co_return error_code();
   connection_ = std::make_shared<client_connection>(client_->context);
   const connection_ptr opened = connection_;
   co_return co_await open(*client_, *opened, address_, deadline);
 }
 
-std::string pooled_call::head_of(const http_request& request) const {
+std::string pooled_call::serialize_head(const http_request& request) const {
   std::string out = request.method + ' ' + request.target + " HTTP/1.1\r\n";
   const auto add = [&out](std::string_view name, std::string_view value) {
     out.append(name).append(": ").append(value).append("\r\n");
@@ -262,7 +263,7 @@
 }
 
 void pooled_call::start_write(const http_request& request) {
-  connection_->outgoing = head_of(request) + request.body;
+  connection_->outgoing = serialize_head(request) + request.body;
   connection_->written = 0;
   if (write_some(*connection_) && !connection_->write_done()) {
     asio::co_spawn(client_->context, write_rest(connection_), asio::detached);
@@ -277,7 +278,7 @@
   if (ec) {
     co_return tl::make_unexpected(failure("cannot connect to", ec, false));
   }
-  head_only_ = request.method == "HEAD";
+  is_head_request_ = request.method == "HEAD";
   set_deadline(deadline);
   start_write(request);
   co_return co_await read_head();
@@ -286,15 +287,15 @@
 awaitable<tl::expected<void, call_failure>> pooled_call::read_head() {
   parser_.emplace();
   parser_->body_limit(boost::none);
-  if (head_only_) parser_->skip(true);
+  if (is_head_request_) parser_->skip(true);
   error_code ec;
   co_await http::async_read_header(connection_->stream, connection_->buffer,
                                    *parser_, redirect_error(use_awaitable, ec));
   if (cancelled_ && !ec) ec = asio::error::operation_aborted;
-  if (ec) co_return tl::make_unexpected(failure("no response from", ec, true));
+  if (ec) co_return tl::make_unexpected(failure("no reply from", ec, true));
   const bool delimited = parser_->chunked() || parser_->is_done() ||
                          parser_->content_length().has_value();
-  if (!delimited && !client_->options.accept_unframed) {
+  if (!delimited && !client_->options.accept_close_delimited) {
     // The end of the response would look the same as a lost connection.
     co_return tl::make_unexpected(failure("a response without length from",
                                           asio::error::no_protocol_option,
@@ -303,23 +304,22 @@
   co_return tl::expected<void, call_failure>();
 }
 
-awaitable<tl::expected<void, call_failure>> pooled_call::next_answer() {
+awaitable<tl::expected<void, call_failure>> pooled_call::read_next_response() {
   // Does not use `read_piece`, which would return the connection to the pool at
   // the end of the discarded response.
   while (connection_ && !cancelled_ && !parser_->is_done()) {
-    std::array<char, piece_size> dropped{};
-    parser_->get().body().data = dropped.data();
-    parser_->get().body().size = dropped.size();
+    std::array<char, piece_size> discarded{};
+    parser_->get().body().data = discarded.data();
+    parser_->get().body().size = discarded.size();
     error_code ec;
     co_await http::async_read_some(connection_->stream, connection_->buffer,
                                    *parser_, redirect_error(use_awaitable, ec));
     if (ec == http::error::need_buffer) ec = {};
-    if (ec)
-      co_return tl::make_unexpected(failure("no response from", ec, true));
+    if (ec) co_return tl::make_unexpected(failure("no reply from", ec, true));
   }
   if (!connection_ || cancelled_ || !parser_->get().keep_alive()) {
     co_return tl::make_unexpected(
-        failure("no response to this request from", asio::error::eof, true));
+        failure("no reply to this request from", asio::error::eof, true));
   }
   co_return co_await read_head();
 }
@@ -348,23 +348,24 @@
     }
     piece.resize(piece.size() - parser_->get().body().size);
   }
-  if (parser_->is_done()) finish();
+  if (parser_->is_done()) release_connection();
   co_return piece;
 }
 
-void pooled_call::finish() {
+void pooled_call::release_connection() {
   if (!connection_ || cancelled_) return;
   // A connection is not reusable while the request is still being written.
   if (parser_->get().keep_alive() && connection_->write_done()) {
-    std::chrono::milliseconds lifetime = client_->options.keep_idle;
-    const std::optional<std::chrono::seconds> told =
+    std::chrono::milliseconds lifetime = client_->options.idle_timeout;
+    const std::optional<std::chrono::seconds> server_timeout =
         keep_alive_seconds(header("Keep-Alive"));
     // Half of the timeout, so that no request is sent while the server closes
     // the connection.
-    if (told) {
-      lifetime = std::min(lifetime, std::chrono::milliseconds(*told) / 2);
+    if (server_timeout) {
+      lifetime =
+          std::min(lifetime, std::chrono::milliseconds(*server_timeout) / 2);
     }
-    client_->keep(address_, std::move(connection_), lifetime);
+    client_->release(address_, std::move(connection_), lifetime);
   }
   connection_.reset();
 }
@@ -405,13 +406,13 @@
   if (ec == asio::error::connection_refused) {
     co_return connect_outcome::refused;
   }
-  if (ec) co_return connect_outcome::silent;
-  client->keep(address, it, client->options.keep_idle);
+  if (ec) co_return connect_outcome::unreachable;
+  client->release(address, it, client->options.idle_timeout);
   co_return connect_outcome::opened;
 }
 
-void http_client::end_overdue(monotonic_time now) {
-  for (pooled_call* it : state_->calls) it->end_if_overdue(now);
+void http_client::cancel_expired(monotonic_time now) {
+  for (pooled_call* it : state_->calls) it->cancel_if_expired(now);
 }
 
 void http_client::close() {
--- a/transport/src/http_server.cc
+++ b/transport/src/http_server.cc
@@ -26,28 +26,28 @@
 using request_parser = http::request_parser<http::string_body>;
 using string_response = http::response<http::string_body>;
 
-constexpr char server_name[] = "trestlepost";
+constexpr char server_header[] = "trestlepost";
 
 http::status status_of(unsigned n) {
   return http::int_to_status(n);
 }
 
-string_response make_head(const http_answer& answer, unsigned version) {
-  string_response out(status_of(answer.status), version);
-  out.result(answer.status);
-  out.set(http::field::server, server_name);
-  if (!answer.content_type.empty()) {
-    out.set(http::field::content_type, answer.content_type);
+string_response make_head(const http_response& response, unsigned version) {
+  string_response out(status_of(response.status), version);
+  out.result(response.status);
+  out.set(http::field::server, server_header);
+  if (!response.content_type.empty()) {
+    out.set(http::field::content_type, response.content_type);
   }
-  for (const auto& [name, value] : answer.headers) out.set(name, value);
+  for (const auto& [name, value] : response.headers) out.set(name, value);
   return out;
 }
 
 }  // namespace
 
-http_answer problem_answer(unsigned status, const error& cause,
-                           std::string_view ran,
-                           std::chrono::seconds retry_after) {
+http_response problem_response(unsigned status, const error& cause,
+                               std::string_view ran,
+                               std::chrono::seconds retry_after) {
   json body;
   body["type"] = "about:blank";
   body["title"] = std::string(http::obsolete_reason(status_of(status)));
@@ -56,7 +56,7 @@
   body["ran"] = std::string(ran);
   body["detail"] = cause.message;
   body["remedy"] = cause.remedy;
-  http_answer out;
+  http_response out;
   out.status = status;
   out.content_type = "application/problem+json";
   out.headers.emplace_back("Trestlepost-Ran", std::string(ran));
@@ -97,7 +97,7 @@
   /// connection.
   awaitable<bool> read_head();
   bool keeps_alive(bool draining) const {
-    return !broken_ && whole_ && parser_->is_done() &&
+    return !unusable_ && response_complete_ && parser_->is_done() &&
            parser_->get().keep_alive() && !draining;
   }
   void set_draining(bool draining) { draining_ = draining; }
@@ -117,45 +117,45 @@
   }
   header_list headers() const override { return list_headers(parser_->get()); }
   awaitable<result<std::string>> read_body() override;
-  awaitable<bool> respond(http_answer answer) override;
-  awaitable<bool> start_stream(http_answer head) override;
-  awaitable<bool> start_sized_stream(http_answer head,
+  awaitable<bool> respond(http_response response) override;
+  awaitable<bool> start_stream(http_response head) override;
+  awaitable<bool> start_sized_stream(http_response head,
                                      std::size_t length) override;
   awaitable<bool> write_piece(std::string piece) override;
   awaitable<bool> finish_stream() override;
-  void abort() override { break_off(); }
-  bool answered() const override { return started_; }
-  bool gone() const override { return gone_; }
-  void on_gone(std::function<void()> action) override;
+  void abort() override { reset_connection(); }
+  bool has_response_started() const override { return response_started_; }
+  bool is_disconnected() const override { return disconnected_; }
+  void on_disconnect(std::function<void()> action) override;
 
  private:
   /// Responds to a request whose head cannot be read. Always returns false.
-  awaitable<bool> refuse_head(error_code ec);
+  awaitable<bool> reject_head(error_code ec);
   awaitable<bool> write_stream_head(http::response<http::empty_body> out);
   awaitable<bool> write(asio::const_buffer data);
   /// Waits until the caller disconnects while the request is in progress.
-  awaitable<void> watch(std::uint64_t exchange);
-  void break_off();
-  void notice_gone();
+  awaitable<void> watch_for_disconnect(std::uint64_t number);
+  void reset_connection();
+  void handle_disconnect();
 
   beast::tcp_stream stream_;
   const http_server_options& options_;
   beast::flat_buffer buffer_;
   std::optional<request_parser> parser_;
-  std::function<void()> on_gone_;
-  std::uint64_t exchange_ = 0;  // number of the current request
-  bool watching_ = false;
-  bool started_ = false;
-  bool whole_ = false;
-  bool chunked_ = false;  // the streamed response uses chunked encoding
-  bool broken_ = false;
-  bool gone_ = false;
+  std::function<void()> on_disconnect_;
+  std::uint64_t request_number_ = 0;  // counts requests on this connection
+  bool watching_for_disconnect_ = false;
+  bool response_started_ = false;
+  bool response_complete_ = false;
+  bool chunked_response_ = false;
+  bool unusable_ = false;
+  bool disconnected_ = false;
   bool draining_ = false;
-  bool first_ = true;  // no request has been read yet
+  bool first_request_ = true;  // no request has been read yet
 };
 
-void connection::break_off() {
-  broken_ = true;
+void connection::reset_connection() {
+  unusable_ = true;
   error_code ec;
   // Sends a TCP reset, so that a partial response cannot be mistaken for a
   // complete one.
@@ -163,89 +163,90 @@
   stream_.socket().close(ec);
 }
 
-void connection::notice_gone() {
-  if (gone_) return;
-  gone_ = true;
-  broken_ = true;
-  const std::function<void()> action = std::exchange(on_gone_, nullptr);
+void connection::handle_disconnect() {
+  if (disconnected_) return;
+  disconnected_ = true;
+  unusable_ = true;
+  const std::function<void()> action = std::exchange(on_disconnect_, nullptr);
   if (action) action();
 }
 
-void connection::on_gone(std::function<void()> action) {
-  if (gone_) {
+void connection::on_disconnect(std::function<void()> action) {
+  if (disconnected_) {
     if (action) action();
     return;
   }
-  on_gone_ = std::move(action);
-  if (watching_ || !on_gone_) return;
-  watching_ = true;
+  on_disconnect_ = std::move(action);
+  if (watching_for_disconnect_ || !on_disconnect_) return;
+  watching_for_disconnect_ = true;
   asio::co_spawn(
       stream_.get_executor(),
-      [self = shared_from_this(), n = exchange_]() -> awaitable<void> {
-        co_await self->watch(n);
+      [self = shared_from_this(), n = request_number_]() -> awaitable<void> {
+        co_await self->watch_for_disconnect(n);
       },
       asio::detached);
 }
 
-awaitable<void> connection::watch(std::uint64_t exchange) {
+awaitable<void> connection::watch_for_disconnect(std::uint64_t number) {
   error_code ec;
   co_await stream_.socket().async_wait(tcp::socket::wait_read,
                                        redirect_error(use_awaitable, ec));
-  if (ec || exchange != exchange_ || !stream_.socket().is_open()) co_return;
+  if (ec || number != request_number_ || !stream_.socket().is_open()) co_return;
   char byte = 0;
   const ssize_t n = ::recv(stream_.socket().native_handle(), &byte, 1,
                            MSG_PEEK | MSG_DONTWAIT);
   // Data is the next request, which is read after the current one.
   if (n > 0) co_return;
-  notice_gone();
+  handle_disconnect();
 }
 
 void connection::end_exchange() {
-  ++exchange_;
-  on_gone_ = nullptr;
-  if (watching_ && stream_.socket().is_open()) {
+  ++request_number_;
+  on_disconnect_ = nullptr;
+  if (watching_for_disconnect_ && stream_.socket().is_open()) {
     error_code ec;
     stream_.socket().cancel(ec);
   }
-  watching_ = false;
+  watching_for_disconnect_ = false;
 }
 
 awaitable<bool> connection::read_head() {
   parser_.emplace();
   parser_->header_limit(static_cast<std::uint32_t>(options_.header_limit));
   parser_->body_limit(options_.body_limit);
-  started_ = false;
-  whole_ = false;
+  response_started_ = false;
+  response_complete_ = false;
   error_code ec;
-  if (buffer_.size() == 0 && !first_) {
+  if (buffer_.size() == 0 && !first_request_) {
     stream_.expires_after(options_.idle_timeout);
     co_await stream_.socket().async_wait(tcp::socket::wait_read,
                                          redirect_error(use_awaitable, ec));
     if (ec) co_return false;
   }
-  first_ = false;
+  first_request_ = false;
   stream_.expires_after(options_.header_timeout);
   co_await http::async_read_header(stream_, buffer_, *parser_,
                                    redirect_error(use_awaitable, ec));
-  if (ec) co_return co_await refuse_head(ec);
-  const bool both = parser_->get().count(http::field::content_length) > 0 &&
-                    parser_->get().count(http::field::transfer_encoding) > 0;
-  if (both) {
+  if (ec) co_return co_await reject_head(ec);
+  const bool both_lengths =
+      parser_->get().count(http::field::content_length) > 0 &&
+      parser_->get().count(http::field::transfer_encoding) > 0;
+  if (both_lengths) {
     ec = http::error::bad_transfer_encoding;
-    co_return co_await refuse_head(ec);
+    co_return co_await reject_head(ec);
   }
   stream_.expires_never();
   co_return true;
 }
 
-awaitable<bool> connection::refuse_head(error_code ec) {
-  broken_ = true;
-  const bool silent =
+awaitable<bool> connection::reject_head(error_code ec) {
+  unusable_ = true;
+  const bool no_response =
       ec == http::error::end_of_stream || ec == asio::error::connection_reset ||
       ec == asio::error::eof || ec == asio::error::bad_descriptor ||
       // After a timeout the stream has already closed its socket.
       ec == beast::error::timeout;
-  if (silent) co_return false;
+  if (no_response) co_return false;
   unsigned status = 400;
   error cause{error_kind::bad_input, "the request's head: " + ec.message(),
               "send a well-formed HTTP/1.1 request"};
@@ -259,18 +260,19 @@
              "send a smaller request"};
   }
   parser_.emplace();
-  whole_ = false;
-  const http_answer answer =
-      problem_answer(status, cause, "no", std::chrono::seconds(0));
-  co_await respond(answer);
+  response_complete_ = false;
+  const http_response response =
+      problem_response(status, cause, "no", std::chrono::seconds(0));
+  co_await respond(response);
   co_return false;
 }
 
 awaitable<result<std::string>> connection::read_body() {
   error_code ec;
   if (beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
-    http::response<http::empty_body> go(http::status::continue_, 11);
-    co_await http::async_write(stream_, go, redirect_error(use_awaitable, ec));
+    http::response<http::empty_body> interim(http::status::continue_, 11);
+    co_await http::async_write(stream_, interim,
+                               redirect_error(use_awaitable, ec));
   }
   if (!parser_->is_done()) {
     stream_.expires_after(options_.body_timeout);
@@ -287,7 +289,7 @@
   }
   if (ec == beast::error::timeout) {
     // On a timeout the stream closes its socket, so no response can be sent.
-    broken_ = true;
+    unusable_ = true;
     co_return fail(error_kind::deadline, "the body was not received in time",
                    "send the body faster, without pauses");
   }
@@ -296,17 +298,17 @@
                  "chunks");
 }
 
-awaitable<bool> connection::respond(http_answer answer) {
-  if (gone_ || started_) co_return false;
-  started_ = true;
-  string_response out = make_head(answer, 11);
-  const bool keep = parser_->is_done() && parser_->get().keep_alive() &&
-                    !draining_ && !broken_;
-  out.keep_alive(keep);
+awaitable<bool> connection::respond(http_response response) {
+  if (disconnected_ || response_started_) co_return false;
+  response_started_ = true;
+  string_response out = make_head(response, 11);
+  const bool keeps_open = parser_->is_done() && parser_->get().keep_alive() &&
+                          !draining_ && !unusable_;
+  out.keep_alive(keeps_open);
   if (method() == "HEAD") {
-    out.content_length(answer.body.size());
+    out.content_length(response.body.size());
   } else {
-    out.body() = std::move(answer.body);
+    out.body() = std::move(response.body);
     out.prepare_payload();
   }
   error_code ec;
@@ -314,38 +316,38 @@
   co_await http::async_write(stream_, out, redirect_error(use_awaitable, ec));
   stream_.expires_never();
   if (ec) {
-    broken_ = true;
+    unusable_ = true;
     co_return false;
   }
-  whole_ = keep;
+  response_complete_ = keeps_open;
   co_return true;
 }
 
-http::response<http::empty_body> make_stream_head(const http_answer& head) {
+http::response<http::empty_body> make_stream_head(const http_response& head) {
   http::response<http::empty_body> out;
   static_cast<http::response_header<>&>(out) = make_head(head, 11).base();
   return out;
 }
 
-awaitable<bool> connection::start_stream(http_answer head) {
+awaitable<bool> connection::start_stream(http_response head) {
   http::response<http::empty_body> out = make_stream_head(head);
   out.chunked(true);
-  chunked_ = true;
+  chunked_response_ = true;
   co_return co_await write_stream_head(std::move(out));
 }
 
-awaitable<bool> connection::start_sized_stream(http_answer head,
+awaitable<bool> connection::start_sized_stream(http_response head,
                                                std::size_t length) {
   http::response<http::empty_body> out = make_stream_head(head);
   out.content_length(length);
-  chunked_ = false;
+  chunked_response_ = false;
   co_return co_await write_stream_head(std::move(out));
 }
 
 awaitable<bool> connection::write_stream_head(
     http::response<http::empty_body> out) {
-  if (gone_ || started_) co_return false;
-  started_ = true;
+  if (disconnected_ || response_started_) co_return false;
+  response_started_ = true;
   out.keep_alive(parser_->get().keep_alive() && !draining_);
   http::response_serializer<http::empty_body> serializer(out);
   error_code ec;
@@ -353,23 +355,23 @@
   co_await http::async_write_header(stream_, serializer,
                                     redirect_error(use_awaitable, ec));
   stream_.expires_never();
-  if (ec) notice_gone();
+  if (ec) handle_disconnect();
   co_return !ec;
 }
 
 awaitable<bool> connection::write(asio::const_buffer data) {
-  if (gone_ || broken_) co_return false;
+  if (disconnected_ || unusable_) co_return false;
   error_code ec;
   stream_.expires_after(options_.write_timeout);
   co_await asio::async_write(stream_, data, redirect_error(use_awaitable, ec));
   stream_.expires_never();
-  if (ec) notice_gone();
+  if (ec) handle_disconnect();
   co_return !ec;
 }
 
 awaitable<bool> connection::write_piece(std::string piece) {
-  if (piece.empty()) co_return !gone_;
-  if (!chunked_) co_return co_await write(asio::buffer(piece));
+  if (piece.empty()) co_return !disconnected_;
+  if (!chunked_response_) co_return co_await write(asio::buffer(piece));
   char size[32];
   const int n = std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
   std::string framed(size, static_cast<std::size_t>(n));
@@ -379,10 +381,11 @@
 }
 
 awaitable<bool> connection::finish_stream() {
-  static constexpr std::string_view last = "0\r\n\r\n";
-  const bool sent =
-      chunked_ ? co_await write(asio::buffer(last)) : !gone_ && !broken_;
-  whole_ = sent && !draining_;
+  static constexpr std::string_view final_chunk = "0\r\n\r\n";
+  const bool sent = chunked_response_
+                        ? co_await write(asio::buffer(final_chunk))
+                        : !disconnected_ && !unusable_;
+  response_complete_ = sent && !draining_;
   co_return sent;
 }
 
@@ -390,9 +393,9 @@
                       std::shared_ptr<connection> self) {
   while (true) {
     server->idle.insert(&self->stream());
-    const bool more = co_await self->read_head();
+    const bool has_request = co_await self->read_head();
     server->idle.erase(&self->stream());
-    if (!more) break;
+    if (!has_request) break;
     ++server->in_progress;
     self->set_draining(server->draining);
     co_await server->handler.handle(*self);
@@ -412,14 +415,14 @@
     co_await server->acceptor->async_accept(socket,
                                             redirect_error(use_awaitable, ec));
     if (ec == asio::error::operation_aborted) co_return;
-    if (ec || server->connections >= server->options.most_connections) {
+    if (ec || server->connections >= server->options.max_connections) {
       continue;
     }
     set_accepted_options(socket);
     ++server->connections;
-    std::shared_ptr<connection> one =
+    std::shared_ptr<connection> accepted =
         std::make_shared<connection>(std::move(socket), server->options);
-    asio::co_spawn(server->context, serve(server, one), asio::detached);
+    asio::co_spawn(server->context, serve(server, accepted), asio::detached);
   }
 }
 
@@ -449,7 +452,7 @@
   return state_->options;
 }
 
-void http_server::close_after_answers() {
+void http_server::disable_keep_alive() {
   state_->draining = true;
 }
 
--- a/transport/src/peer_frame.h
+++ b/transport/src/peer_frame.h
@@ -21,8 +21,9 @@
 inline constexpr char hello_method[] = "hello";
 
 /// Concatenates the data that a frame's HMAC covers.
-inline std::string counted(std::string_view challenge, std::uint64_t counter,
-                           std::string_view payload) {
+inline std::string authenticated_data(std::string_view challenge,
+                                      std::uint64_t counter,
+                                      std::string_view payload) {
   std::string out(challenge);
   for (int shift = 56; shift >= 0; shift -= 8) {
     out += static_cast<char>((counter >> shift) & 0xff);
@@ -32,9 +33,11 @@
 }
 
 /// Returns the HMAC of the frame with number `counter` on a connection.
-inline digest frame_digest(std::string_view secret, std::string_view challenge,
-                           std::uint64_t counter, std::string_view payload) {
-  return keyed_digest(secret, counted(challenge, counter, payload));
+inline sha256_digest frame_digest(std::string_view secret,
+                                  std::string_view challenge,
+                                  std::uint64_t counter,
+                                  std::string_view payload) {
+  return hmac_sha256(secret, authenticated_data(challenge, counter, payload));
 }
 
 inline std::string encode_length(std::size_t n) {
@@ -57,7 +60,7 @@
                                 std::string_view challenge,
                                 std::uint64_t counter,
                                 std::string_view payload) {
-  const digest sum = frame_digest(secret, challenge, counter, payload);
+  const sha256_digest sum = frame_digest(secret, challenge, counter, payload);
   std::string out = encode_length(payload.size());
   out.append(reinterpret_cast<const char*>(sum.data()), sum.size());
   out += payload;
--- a/transport/src/peer_links.cc
+++ b/transport/src/peer_links.cc
@@ -35,13 +35,13 @@
   std::string address;
   boost::beast::tcp_stream stream;
   timer wake;
-  std::deque<packed_notification> queue;
+  std::deque<encoded_notification> queue;
   std::size_t queued_bytes = 0;
   std::string challenge;
   std::uint64_t counter = 0;
   bool closed = false;
-  bool lost_before = false;  // a connection to this peer was lost
-  bool renews = false;       // the current connection is to be replaced
+  bool lost_before = false;          // a connection to this peer was lost
+  bool reconnect_requested = false;  // the current connection is to be replaced
   monotonic_time opened_at{};
 };
 
@@ -55,9 +55,10 @@
   std::string secret;
   peer_options options;
   std::map<std::string, std::shared_ptr<link>> links;
-  std::set<std::string> kept;
+  std::set<std::string> persistent;
   peer_traffic traffic;
-  std::function<void(const std::string&)> on_lost = [](const std::string&) {};
+  std::function<void(const std::string&)> on_connection_lost =
+      [](const std::string&) {};
 };
 
 namespace {
@@ -70,11 +71,11 @@
   if (!at) co_return false;
   error_code ec;
   to.stream.socket().close(ec);
-  open_from(to.stream.socket(), *at, all.options.source_ip);
+  open_and_bind(to.stream.socket(), *at, all.options.source_ip);
   to.stream.expires_after(all.options.connect_timeout);
   co_await to.stream.async_connect(*at, redirect_error(use_awaitable, ec));
   if (ec) co_return false;
-  set_opened_options(to.stream.socket(), all.options.silence);
+  set_outgoing_options(to.stream.socket(), all.options.tcp_user_timeout);
   // The challenge arrives after a second round trip.
   to.stream.expires_after(all.options.connect_timeout);
   to.challenge.assign(detail::challenge_size, '\0');
@@ -106,18 +107,18 @@
 
 /// Sends queued messages until the connection fails or is to be replaced.
 awaitable<void> send_queue(peer_links::state& all, link& to) {
-  to.renews = false;
+  to.reconnect_requested = false;
   to.opened_at = boot_clock::now();
   const std::string hello = make_hello(all, to);
   bool connected = co_await write(all, to, hello);
-  while (connected && !to.closed && !to.renews) {
+  while (connected && !to.closed && !to.reconnect_requested) {
     if (to.queue.empty()) {
       error_code ec;
       to.wake.expires_at(monotonic_time::max());
       co_await to.wake.async_wait(redirect_error(use_awaitable, ec));
       continue;
     }
-    const packed_notification next = std::move(to.queue.front());
+    const encoded_notification next = std::move(to.queue.front());
     to.queue.pop_front();
     to.queued_bytes -= next.payload->size();
     connected = co_await write(all, to, *next.payload);
@@ -136,13 +137,13 @@
     to->queued_bytes = 0;
     if (connected) {
       to->lost_before = true;
-      all->on_lost(to->address);
+      all->on_connection_lost(to->address);
     }
     error_code ec;
     to->wake.expires_after(reconnect_delay);
     co_await to->wake.async_wait(redirect_error(use_awaitable, ec));
     while (to->queue.empty() && !to->closed &&
-           !all->kept.contains(to->address)) {
+           !all->persistent.contains(to->address)) {
       to->wake.expires_at(monotonic_time::max());
       co_await to->wake.async_wait(redirect_error(use_awaitable, ec));
     }
@@ -175,54 +176,54 @@
 
 }  // namespace
 
-packed_notification pack_notification(const std::string& method,
-                                      const json& params) {
+encoded_notification encode_notification(const std::string& method,
+                                         const json& params) {
   return {std::make_shared<const std::string>(
-      pack(make_rpc_notification(method, params)))};
+      compress_text(make_rpc_notification(method, params)))};
 }
 
 void peer_links::send(const std::string& address, const std::string& method,
                       const json& params) {
   if (address.empty()) return;
-  send(address, pack_notification(method, params));
+  send(address, encode_notification(method, params));
 }
 
 void peer_links::send(const std::string& address,
-                      const packed_notification& packed) {
+                      const encoded_notification& encoded) {
   if (address.empty()) return;
   const std::shared_ptr<link> to = link_to(state_, address);
-  const std::size_t size = packed.payload->size();
+  const std::size_t size = encoded.payload->size();
   if (to->queued_bytes + size > state_->options.queue_limit) {
     ++state_->traffic.messages_dropped;
     return;
   }
   to->queued_bytes += size;
-  to->queue.push_back(packed);
+  to->queue.push_back(encoded);
   to->wake.cancel();
 }
 
 void peer_links::keep_open(std::set<std::string> addresses) {
   addresses.erase("");
-  if (addresses == state_->kept) return;
-  state_->kept = std::move(addresses);
-  for (const std::string& it : state_->kept) {
+  if (addresses == state_->persistent) return;
+  state_->persistent = std::move(addresses);
+  for (const std::string& it : state_->persistent) {
     link_to(state_, it)->wake.cancel();
   }
 }
 
-void peer_links::renew(const std::string& address) {
+void peer_links::reconnect(const std::string& address) {
   const auto found = state_->links.find(address);
   if (found == state_->links.end()) return;
   link& it = *found->second;
   const std::chrono::nanoseconds age = boot_clock::now() - it.opened_at;
-  if (age < state_->options.silence) return;
-  it.renews = true;
+  if (age < state_->options.tcp_user_timeout) return;
+  it.reconnect_requested = true;
   it.wake.cancel();
 }
 
-void peer_links::set_on_lost(
-    std::function<void(const std::string& address)> on_lost) {
-  state_->on_lost = std::move(on_lost);
+void peer_links::set_on_connection_lost(
+    std::function<void(const std::string& address)> on_connection_lost) {
+  state_->on_connection_lost = std::move(on_connection_lost);
 }
 
 const peer_traffic& peer_links::traffic() const {
--- a/transport/src/peer_server.cc
+++ b/transport/src/peer_server.cc
@@ -44,8 +44,8 @@
   std::optional<tcp::acceptor> acceptor;
   std::set<boost::beast::tcp_stream*> open;
   peer_traffic traffic;
-  std::function<void(const std::string&)> on_reopened = [](const std::string&) {
-  };
+  std::function<void(const std::string&)> on_peer_reconnected =
+      [](const std::string&) {};
 };
 
 namespace {
@@ -76,21 +76,21 @@
   const std::size_t limit = counter == 0 ? server->options.first_frame_limit
                                          : server->options.frame_limit;
   if (size > limit) {
-    ++server->traffic.strangers_refused;
+    ++server->traffic.unauthenticated_refused;
     co_return std::nullopt;
   }
   std::string payload(size, '\0');
   co_await asio::async_read(stream, asio::buffer(payload),
                             redirect_error(use_awaitable, ec));
   if (ec) co_return std::nullopt;
-  digest given{};
+  sha256_digest given{};
   std::copy_n(
       reinterpret_cast<const unsigned char*>(head.data()) + detail::length_size,
       given.size(), given.begin());
-  const digest expected =
+  const sha256_digest expected =
       detail::frame_digest(server->secret, challenge, counter, payload);
-  if (!same_digest(given, expected)) {
-    ++server->traffic.strangers_refused;
+  if (!equal_digests(given, expected)) {
+    ++server->traffic.unauthenticated_refused;
     log_event(log_level::warn, "peer-refused",
               {{"detail", "a frame has an invalid digest"}});
     co_return std::nullopt;
@@ -98,7 +98,7 @@
   server->traffic.bytes_received += head.size() + size;
   ++server->traffic.messages_received;
   std::optional<std::string> text =
-      unpack(std::move(payload), server->options.frame_limit);
+      decompress_text(std::move(payload), server->options.frame_limit);
   if (!text) log_event(log_level::warn, "peer-frame-damaged");
   co_return text;
 }
@@ -147,13 +147,13 @@
   dispatcher.add_notification(
       detail::hello_method, [all = state_](const json& in, const rpc_context&) {
         const std::string by = text_of(in, "reopened_by");
-        if (!by.empty()) all->on_reopened(by);
+        if (!by.empty()) all->on_peer_reconnected(by);
       });
 }
 
-void peer_server::set_on_reopened(
-    std::function<void(const std::string& address)> on_reopened) {
-  state_->on_reopened = std::move(on_reopened);
+void peer_server::set_on_peer_reconnected(
+    std::function<void(const std::string& address)> on_peer_reconnected) {
+  state_->on_peer_reconnected = std::move(on_peer_reconnected);
 }
 
 peer_server::~peer_server() {
--- a/transport/src/rpc.cc
+++ b/transport/src/rpc.cc
@@ -35,24 +35,24 @@
                                                static_cast<void*>(nullptr)));
   }
 
-  void add(const std::string& name, rpc_notification told) {
-    notifications_[name] = std::move(told);
+  void add(const std::string& name, rpc_notification handler) {
+    notifications_[name] = std::move(handler);
     protocol_->AddProcedure(jsonrpc::Procedure(name, jsonrpc::PARAMS_BY_NAME,
                                                static_cast<void*>(nullptr)));
   }
 
   std::string dispatch(const std::string& request, const rpc_context& caller) {
     caller_ = &caller;
-    answer_.clear();
+    response_.clear();
     OnRequest(request, nullptr);
     caller_ = nullptr;
-    return std::move(answer_);
+    return std::move(response_);
   }
 
   bool StartListening() override { return true; }
   bool StopListening() override { return true; }
   bool SendResponse(const std::string& response, void* /*info*/) override {
-    answer_ = response;
+    response_ = response;
     return true;
   }
 
@@ -96,7 +96,7 @@
   std::map<std::string, rpc_method> methods_;
   std::map<std::string, rpc_notification> notifications_;
   const rpc_context* caller_ = nullptr;
-  std::string answer_;
+  std::string response_;
 };
 
 rpc_dispatcher::rpc_dispatcher()
@@ -137,7 +137,7 @@
   return to_text(out);
 }
 
-result<json> read_rpc_answer(const std::string& text) {
+result<json> parse_rpc_response(const std::string& text) {
   result<json> parsed = parse_json(text);
   if (!parsed) return parsed;
   const json& failed = member_of(*parsed, "error");
@@ -145,8 +145,7 @@
     const json& data = member_of(failed, "data");
     const std::string kind = text_of(data, "kind");
     std::string remedy = text_of(data, "remedy");
-    if (remedy.empty())
-      remedy = "run the same version of trestlepost on all nodes";
+    if (remedy.empty()) remedy = "run one version of trestlepost on all nodes";
     return fail(kind.empty() ? error_kind::bad_input : error_kind_from(kind),
                 text_of(failed, "message"), std::move(remedy));
   }
--- a/transport/src/socket_options.cc
+++ b/transport/src/socket_options.cc
@@ -12,9 +12,9 @@
 
 // TCP user timeout of accepted connections in milliseconds. Data that is
 // unacknowledged for longer means that the host or the network has failed.
-constexpr int unacknowledged_ms = 5000;
+constexpr int user_timeout_ms = 5000;
 // Idle time in seconds before the first keep-alive probe, and between probes.
-constexpr int probe_seconds = 1;
+constexpr int probe_interval_s = 1;
 
 void set_no_delay(tcp::socket& socket) {
   boost::system::error_code ec;
@@ -47,21 +47,22 @@
 
 void set_accepted_options(tcp::socket& socket) {
   set_no_delay(socket);
-  set_tcp_option(socket, TCP_USER_TIMEOUT, unacknowledged_ms);
+  set_tcp_option(socket, TCP_USER_TIMEOUT, user_timeout_ms);
 }
 
-void set_opened_options(tcp::socket& socket,
-                        std::chrono::milliseconds silence) {
+void set_outgoing_options(tcp::socket& socket,
+                          std::chrono::milliseconds tcp_user_timeout) {
   set_no_delay(socket);
   boost::system::error_code ec;
   socket.set_option(asio::socket_base::keep_alive(true), ec);
-  set_tcp_option(socket, TCP_KEEPIDLE, probe_seconds);
-  set_tcp_option(socket, TCP_KEEPINTVL, probe_seconds);
-  set_tcp_option(socket, TCP_USER_TIMEOUT, static_cast<int>(silence.count()));
+  set_tcp_option(socket, TCP_KEEPIDLE, probe_interval_s);
+  set_tcp_option(socket, TCP_KEEPINTVL, probe_interval_s);
+  set_tcp_option(socket, TCP_USER_TIMEOUT,
+                 static_cast<int>(tcp_user_timeout.count()));
 }
 
-void open_from(tcp::socket& socket, const tcp::endpoint& to,
-               const std::string& source_ip) {
+void open_and_bind(tcp::socket& socket, const tcp::endpoint& to,
+                   const std::string& source_ip) {
   if (source_ip.empty()) return;
   boost::system::error_code ec;
   const asio::ip::address ip = asio::ip::make_address(source_ip, ec);
--- a/transport/src/steady_time.cc
+++ b/transport/src/steady_time.cc
@@ -3,7 +3,7 @@
 
 namespace trestlepost::transport {
 
-std::chrono::steady_clock::time_point steady_time(monotonic_time at) {
+std::chrono::steady_clock::time_point to_steady_time(monotonic_time at) {
   using steady = std::chrono::steady_clock;
   if (at == monotonic_time::max()) return steady::time_point::max();
   return steady::now() + (at - boot_clock::now());
--- a/transport/test/http-test.cc
+++ b/transport/test/http-test.cc
@@ -8,14 +8,14 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/write.hpp>
 
-#include "own_ip.h"
+#include "loopback_ip.h"
 #include "trestlepost/transport/http_client.h"
 #include "trestlepost/transport/http_server.h"
 
 namespace trestlepost::transport {
 namespace {
 
-const std::string address = own_ip() + ":7802";
+const std::string address = loopback_ip() + ":7802";
 
 /// Streams for /stream, aborts a stream for /cut, and echoes the body
 /// otherwise.
@@ -25,13 +25,13 @@
     const result<std::string> body = co_await exchange.read_body();
     ++handled;
     if (!body) {
-      const http_answer refusal =
-          problem_answer(400, body.error(), "no", std::chrono::seconds(0));
+      const http_response refusal =
+          problem_response(400, body.error(), "no", std::chrono::seconds(0));
       co_await exchange.respond(refusal);
       co_return;
     }
     if (exchange.target() == "/stream" || exchange.target() == "/cut") {
-      http_answer head;
+      http_response head;
       head.content_type = "text/event-stream";
       co_await exchange.start_stream(head);
       co_await exchange.write_piece("one ");
@@ -43,9 +43,9 @@
       }
       co_return;
     }
-    http_answer answer;
-    answer.body = "echo " + *body;
-    co_await exchange.respond(answer);
+    http_response response;
+    response.body = "echo " + *body;
+    co_await exchange.respond(response);
   }
 
   int handled = 0;
@@ -100,7 +100,7 @@
 
   /// Sends raw bytes and returns the response, with "(open)" if the server does
   /// not close the connection within the time limit.
-  std::string raw(const std::string& bytes) {
+  std::string send_raw(const std::string& bytes) {
     tcp::socket socket(context_);
     socket.connect(*parse_address(address));
     asio::write(socket, asio::buffer(bytes));
@@ -127,25 +127,25 @@
   http_client client_;
 };
 
-TEST_F(http_test, answers_and_reuses_connections) {
+TEST_F(http_test, responds_and_reuses_connections) {
   EXPECT_EQ(get("/", "a"), "echo a");
   EXPECT_EQ(get("/", "b"), "echo b");
   EXPECT_EQ(get("/stream"), "one two");
   EXPECT_EQ(get("/", "c"), "echo c");
 }
 
-TEST_F(http_test, a_cut_answer_is_never_a_whole_one) {
+TEST_F(http_test, an_aborted_response_is_an_error) {
   EXPECT_EQ(get("/cut"), "error");
   EXPECT_EQ(get("/", "next"), "echo next");
 }
 
 struct bad_request {
-  const char* what;
+  const char* name;
   std::string bytes;
   const char* expected;
 };
 
-TEST_F(http_test, bad_input_gets_a_typed_error_and_the_next_is_served) {
+TEST_F(http_test, malformed_requests_get_a_typed_error_and_the_next_is_served) {
   const bad_request cases[] = {
       {"garbage", "\x01\x02garbage\r\n\r\n", "HTTP/1.1 400"},
       {"big head",
@@ -166,24 +166,25 @@
        "HTTP/1.1 400"},
   };
   for (const bad_request& it : cases) {
-    const std::string answer = raw(it.bytes);
-    EXPECT_EQ(answer.rfind(it.expected, 0), 0U) << it.what << ": " << answer;
-    EXPECT_NE(answer.find("remedy"), std::string::npos) << it.what;
-    EXPECT_EQ(get("/", "next"), "echo next") << it.what;
+    const std::string response = send_raw(it.bytes);
+    EXPECT_EQ(response.rfind(it.expected, 0), 0U)
+        << it.name << ": " << response;
+    EXPECT_NE(response.find("remedy"), std::string::npos) << it.name;
+    EXPECT_EQ(get("/", "next"), "echo next") << it.name;
   }
 }
 
-TEST_F(http_test, a_slow_sender_is_closed_and_the_next_is_served) {
-  EXPECT_EQ(raw("GET / HT"), "");
-  EXPECT_EQ(raw("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"), "");
+TEST_F(http_test, a_slow_sender_is_disconnected_and_the_next_is_served) {
+  EXPECT_EQ(send_raw("GET / HT"), "");
+  EXPECT_EQ(send_raw("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"), "");
   EXPECT_EQ(get("/", "next"), "echo next");
 }
 
-TEST_F(http_test, a_connection_that_is_tried_is_kept_or_refused) {
+TEST_F(http_test, try_connect_pools_the_connection_or_reports_a_refusal) {
   std::vector<connect_outcome> found;
   const auto task = [&]() -> awaitable<void> {
     found.push_back(co_await client_.try_connect(address));
-    found.push_back(co_await client_.try_connect(own_ip() + ":7803"));
+    found.push_back(co_await client_.try_connect(loopback_ip() + ":7803"));
   };
   asio::co_spawn(context_, task(), asio::detached);
   EXPECT_TRUE(run_until([&found] { return found.size() == 2; }));
@@ -193,10 +194,11 @@
   EXPECT_EQ(get("/"), "echo ");
 }
 
-TEST_F(http_test, a_refused_connection_is_told_apart) {
+TEST_F(http_test, a_refused_connection_is_reported) {
   std::optional<call_failure> failed;
   const auto task = [&]() -> awaitable<void> {
-    const std::shared_ptr<http_call> call = client_.call(own_ip() + ":7803");
+    const std::shared_ptr<http_call> call =
+        client_.call(loopback_ip() + ":7803");
     const http_request request;
     const tl::expected<void, call_failure> sent = co_await call->send(
         request, boot_clock::now() + std::chrono::seconds(5));
@@ -218,11 +220,11 @@
 
 // Checks only the options. That the system closes the connection cannot be
 // tested on loopback, which always acknowledges.
-TEST(socket_options_test, an_opened_connection_is_watched_for_silence) {
+TEST(socket_options_test, outgoing_connections_have_probes_and_a_user_timeout) {
   asio::io_context io;
   tcp::socket socket(io);
   socket.open(tcp::v4());
-  set_opened_options(socket, std::chrono::milliseconds(1700));
+  set_outgoing_options(socket, std::chrono::milliseconds(1700));
   asio::socket_base::keep_alive probed;
   socket.get_option(probed);
   EXPECT_TRUE(probed.value());
--- a/transport/test/peer-test.cc
+++ b/transport/test/peer-test.cc
@@ -7,13 +7,13 @@
 #include <boost/asio/write.hpp>
 
 #include "../src/peer_frame.h"
-#include "own_ip.h"
+#include "loopback_ip.h"
 #include "trestlepost/transport/peer_links.h"
 
 namespace trestlepost::transport {
 namespace {
 
-const std::string address = own_ip() + ":7801";
+const std::string address = loopback_ip() + ":7801";
 constexpr char secret[] = "a secret of the peers";
 
 class peer_test : public testing::Test {
@@ -46,7 +46,7 @@
 };
 
 /// Makes the parameters of the notification "count".
-json numbered(int n) {
+json make_params(int n) {
   json out;
   out["n"] = n;
   return out;
@@ -54,12 +54,12 @@
 
 TEST_F(peer_test, delivers_in_order_to_a_peer_with_the_secret) {
   peer_links links(context_, secret, {});
-  for (int i = 0; i < 100; ++i) links.send(address, "count", numbered(i));
+  for (int i = 0; i < 100; ++i) links.send(address, "count", make_params(i));
   ASSERT_TRUE(run_until([this] { return received_.size() == 100; }));
   for (int i = 0; i < 100; ++i) EXPECT_EQ(received_[i], i);
 }
 
-TEST_F(peer_test, a_kept_peer_is_connected_before_anything_is_sent) {
+TEST_F(peer_test, keep_open_connects_without_a_message) {
   peer_links links(context_, secret, {});
   links.keep_open({address});
   // The first notification, "hello", is counted as a message.
@@ -67,8 +67,8 @@
       run_until([&links] { return links.traffic().messages_sent == 1; }));
 }
 
-TEST_F(peer_test, a_kept_peer_that_is_not_there_yet_is_tried_again) {
-  const std::string later = own_ip() + ":7802";
+TEST_F(peer_test, keep_open_retries_until_the_peer_listens) {
+  const std::string later = loopback_ip() + ":7802";
   peer_links links(context_, secret, {});
   links.keep_open({later});
   run_until([] { return false; });
@@ -78,51 +78,52 @@
       run_until([&links] { return links.traffic().messages_sent == 1; }));
 }
 
-TEST_F(peer_test, what_is_sent_when_a_connection_is_lost_arrives) {
-  const std::string other = own_ip() + ":7803";
+TEST_F(peer_test, a_message_sent_on_connection_loss_is_delivered) {
+  const std::string other = loopback_ip() + ":7803";
   auto server = std::make_unique<peer_server>(context_, secret, dispatcher_,
                                               random_, peer_options());
   ASSERT_TRUE(server->listen(other));
   peer_links links(context_, secret, {});
   std::vector<std::string> lost;
-  links.set_on_lost([&lost, &links](const std::string& it) {
+  links.set_on_connection_lost([&lost, &links](const std::string& it) {
     lost.push_back(it);
-    links.send(it, "count", numbered(2));
+    links.send(it, "count", make_params(2));
   });
-  links.send(other, "count", numbered(1));
+  links.send(other, "count", make_params(1));
   ASSERT_TRUE(run_until([this] { return received_.size() == 1; }));
   server = std::make_unique<peer_server>(context_, secret, dispatcher_, random_,
                                          peer_options());
   ASSERT_TRUE(server->listen(other));
   // The first write to the closed connection only triggers a TCP reset, so a
   // second one may be necessary to detect the loss.
-  links.send(other, "none", numbered(0));
+  links.send(other, "none", make_params(0));
   run_until(
       [&lost, turns = 0]() mutable { return !lost.empty() || ++turns > 50; });
-  if (lost.empty()) links.send(other, "none", numbered(0));
+  if (lost.empty()) links.send(other, "none", make_params(0));
   ASSERT_TRUE(run_until([&lost] { return !lost.empty(); }));
   EXPECT_EQ(lost, std::vector<std::string>{other});
   EXPECT_TRUE(run_until([this] { return received_.size() == 2; }));
   EXPECT_EQ(received_.back(), 2);
 }
 
-TEST_F(peer_test, a_peer_that_lost_its_connection_is_connected_to_anew) {
-  constexpr std::chrono::milliseconds silence{20};
-  const std::string other = own_ip() + ":7804";
+TEST_F(peer_test, reconnects_to_a_peer_that_lost_its_connection) {
+  constexpr std::chrono::milliseconds tcp_user_timeout{20};
+  const std::string other = loopback_ip() + ":7804";
   peer_options options;
-  options.silence = silence;
+  options.tcp_user_timeout = tcp_user_timeout;
   peer_links links(context_, secret, options);
   std::vector<std::string> lost;
-  links.set_on_lost([&lost](const std::string& it) { lost.push_back(it); });
-  links.send(address, "count", numbered(1));
+  links.set_on_connection_lost(
+      [&lost](const std::string& it) { lost.push_back(it); });
+  links.send(address, "count", make_params(1));
   ASSERT_TRUE(run_until([this] { return received_.size() == 1; }));
   std::vector<std::string> reopened;
-  const std::function<void(const std::string&)> on_reopened =
+  const std::function<void(const std::string&)> on_peer_reconnected =
       [&reopened, &links](const std::string& it) {
         reopened.push_back(it);
-        links.renew(it);
+        links.reconnect(it);
       };
-  const monotonic_time old_enough = boot_clock::now() + silence;
+  const monotonic_time old_enough = boot_clock::now() + tcp_user_timeout;
   ASSERT_TRUE(
       run_until([old_enough] { return boot_clock::now() > old_enough; }));
   // Simulates the node at `address`, which loses its connection to this one.
@@ -132,56 +133,58 @@
   auto server = std::make_unique<peer_server>(context_, secret, dispatcher_,
                                               random_, peer_options());
   ASSERT_TRUE(server->listen(other));
-  server->set_on_reopened(on_reopened);
-  back.send(other, "count", numbered(2));
+  server->set_on_peer_reconnected(on_peer_reconnected);
+  back.send(other, "count", make_params(2));
   ASSERT_TRUE(run_until([this] { return received_.size() == 2; }));
   EXPECT_TRUE(reopened.empty());
   server = std::make_unique<peer_server>(context_, secret, dispatcher_, random_,
                                          peer_options());
   ASSERT_TRUE(server->listen(other));
-  server->set_on_reopened(on_reopened);
+  server->set_on_peer_reconnected(on_peer_reconnected);
   ASSERT_TRUE(run_until([&back, &other, &reopened] {
-    back.send(other, "none", numbered(0));
+    back.send(other, "none", make_params(0));
     return !reopened.empty();
   }));
   EXPECT_EQ(reopened.front(), address);
   ASSERT_TRUE(run_until([&lost] { return !lost.empty(); }));
-  links.send(address, "count", numbered(3));
+  links.send(address, "count", make_params(3));
   EXPECT_TRUE(run_until([this] { return received_.back() == 3; }));
 }
 
-TEST_F(peer_test, a_young_connection_is_kept) {
+TEST_F(peer_test, reconnect_keeps_a_recent_connection) {
   peer_links links(context_, secret, {});
   std::vector<std::string> lost;
-  links.set_on_lost([&lost](const std::string& it) { lost.push_back(it); });
-  links.send(address, "count", numbered(1));
+  links.set_on_connection_lost(
+      [&lost](const std::string& it) { lost.push_back(it); });
+  links.send(address, "count", make_params(1));
   ASSERT_TRUE(run_until([this] { return received_.size() == 1; }));
-  links.renew(address);
-  links.send(address, "count", numbered(2));
+  links.reconnect(address);
+  links.send(address, "count", make_params(2));
   EXPECT_TRUE(run_until([this] { return received_.size() == 2; }));
   EXPECT_TRUE(lost.empty());
 }
 
-TEST_F(peer_test, a_peer_with_another_secret_gets_nothing) {
+TEST_F(peer_test, a_peer_with_another_secret_is_refused) {
   peer_links links(context_, "another secret", {});
-  links.send(address, "count", numbered(1));
-  ASSERT_TRUE(
-      run_until([this] { return server_.traffic().strangers_refused > 0; }));
+  links.send(address, "count", make_params(1));
+  ASSERT_TRUE(run_until(
+      [this] { return server_.traffic().unauthenticated_refused > 0; }));
   EXPECT_TRUE(received_.empty());
 }
 
-struct garbage_case {
-  const char* what;
+struct malformed_frame {
+  const char* name;
   std::string bytes;
 };
 
-TEST_F(peer_test, garbage_closes_the_connection_and_the_next_peer_is_served) {
-  const garbage_case cases[] = {
+TEST_F(peer_test,
+       malformed_frames_close_the_connection_and_the_next_peer_is_served) {
+  const malformed_frame cases[] = {
       {"http", "GET / HTTP/1.1\r\nHost: x\r\n\r\n" + std::string(64, 'x')},
       {"huge length", std::string(64, '\xff')},
       {"zeros", std::string(64, '\0')},
   };
-  for (const garbage_case& it : cases) {
+  for (const malformed_frame& it : cases) {
     tcp::socket socket(context_);
     socket.connect(*parse_address(address));
     asio::write(socket, asio::buffer(it.bytes));
@@ -196,21 +199,22 @@
           });
     };
     read_more();
-    EXPECT_TRUE(run_until([&closed] { return closed; })) << it.what;
+    EXPECT_TRUE(run_until([&closed] { return closed; })) << it.name;
   }
   peer_links links(context_, secret, {});
-  links.send(address, "count", numbered(7));
+  links.send(address, "count", make_params(7));
   EXPECT_TRUE(run_until([this] { return received_.size() == 1; }));
 }
 
 TEST(peer_frame_test, a_replayed_frame_has_the_wrong_digest) {
   const std::string challenge(detail::challenge_size, 'c');
   const std::string other(detail::challenge_size, 'd');
-  const digest first = detail::frame_digest(secret, challenge, 0, "text");
+  const sha256_digest first =
+      detail::frame_digest(secret, challenge, 0, "text");
   EXPECT_FALSE(
-      same_digest(first, detail::frame_digest(secret, challenge, 1, "text")));
+      equal_digests(first, detail::frame_digest(secret, challenge, 1, "text")));
   EXPECT_FALSE(
-      same_digest(first, detail::frame_digest(secret, other, 0, "text")));
+      equal_digests(first, detail::frame_digest(secret, other, 0, "text")));
 }
 
 }  // namespace
--- a/transport/test/query-test.cc
+++ b/transport/test/query-test.cc
@@ -5,7 +5,7 @@
 namespace trestlepost::transport {
 namespace {
 
-TEST(query_test, finds_values_as_they_stand) {
+TEST(query_test, returns_values_without_decoding) {
   EXPECT_EQ(query_value("/p?name=a%2eb&region=n&x", "name"), "a%2eb");
   EXPECT_EQ(query_value("/p?name=a&&region=n=m&x", "region"), "n=m");
   EXPECT_EQ(query_value("/p?a=1&a=2", "a"), "1");
--- a/transport/test/rpc-test.cc
+++ b/transport/test/rpc-test.cc
@@ -7,7 +7,7 @@
 
 TEST(rpc_test, dispatches_methods_notifications_and_errors) {
   rpc_dispatcher it;
-  int told = 0;
+  int received = 0;
   it.add_method(
       "double",
       [](const json& params, const rpc_context& caller) -> result<json> {
@@ -18,25 +18,25 @@
         out["n"] = params["n"].asInt() * 2;
         return out;
       });
-  it.add_notification("tell",
-                      [&told](const json&, const rpc_context&) { ++told; });
+  it.add_notification(
+      "tell", [&received](const json&, const rpc_context&) { ++received; });
   json params;
   params["n"] = 21;
   const rpc_context reader{"anna", "read"};
-  const result<json> answer = read_rpc_answer(
+  const result<json> response = parse_rpc_response(
       it.dispatch(make_rpc_request("double", params, 1), reader));
-  ASSERT_TRUE(answer);
-  EXPECT_EQ((*answer)["n"].asInt(), 42);
-  const result<json> refused = read_rpc_answer(
+  ASSERT_TRUE(response);
+  EXPECT_EQ((*response)["n"].asInt(), 42);
+  const result<json> refused = parse_rpc_response(
       it.dispatch(make_rpc_request("double", params, 1), {"x", "none"}));
   ASSERT_FALSE(refused);
   EXPECT_EQ(refused.error().kind, error_kind::unauthorized);
   EXPECT_EQ(refused.error().remedy, "log in");
   it.dispatch(make_rpc_notification("tell", params), reader);
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(received, 1);
 }
 
-TEST(rpc_test, survives_what_is_no_request) {
+TEST(rpc_test, rejects_malformed_requests) {
   rpc_dispatcher it;
   it.add_method("m",
                 [](const json& params, const rpc_context&) -> result<json> {
@@ -46,8 +46,8 @@
        {"", "{", "[]", "null", "{\"jsonrpc\":\"2.0\"}",
         R"({"jsonrpc":"2.0","method":"none","params":{},"id":1})",
         R"({"jsonrpc":"2.0","method":"m","params":{"x":1},"id":1})"}) {
-    const result<json> answer = read_rpc_answer(it.dispatch(text, {}));
-    EXPECT_FALSE(answer) << text;
+    const result<json> response = parse_rpc_response(it.dispatch(text, {}));
+    EXPECT_FALSE(response) << text;
   }
 }
 
