--- a/base/src/log_writer.cc
+++ b/base/src/log_writer.cc
@@ -9,8 +9,8 @@
 namespace trestlepost {
 
 bool log_writer::is_writable() const {
-  pollfd one{fd_, POLLOUT, 0};
-  return ::poll(&one, 1, 0) > 0 && (one.revents & POLLOUT) != 0;
+  pollfd request{fd_, POLLOUT, 0};
+  return ::poll(&request, 1, 0) > 0 && (request.revents & POLLOUT) != 0;
 }
 
 void log_writer::push(std::string line) {
@@ -47,18 +47,18 @@
     it = buckets_.emplace(std::string(event), bucket{limits_.burst, now, 0})
              .first;
   }
-  bucket& one = it->second;
-  const std::chrono::duration<double> passed = now - one.at;
-  one.tokens = std::min(limits_.burst,
-                        one.tokens + passed.count() * limits_.lines_per_second);
-  one.at = now;
-  if (one.tokens < 1) {
-    ++one.dropped;
+  bucket& entry = it->second;
+  const std::chrono::duration<double> passed = now - entry.at;
+  entry.tokens = std::min(
+      limits_.burst, entry.tokens + passed.count() * limits_.lines_per_second);
+  entry.at = now;
+  if (entry.tokens < 1) {
+    ++entry.dropped;
     return {false, 0};
   }
-  one.tokens -= 1;
-  const decision out{true, one.dropped};
-  one.dropped = 0;
+  entry.tokens -= 1;
+  const decision out{true, entry.dropped};
+  entry.dropped = 0;
   return out;
 }
 
--- a/base/test/compression-test.cc
+++ b/base/test/compression-test.cc
@@ -27,9 +27,9 @@
   for (std::size_t n = 1; n < compressed.size(); n += 11) {
     EXPECT_FALSE(decompress_text(compressed.substr(0, n), limit)) << n;
   }
-  std::string spoilt = compressed;
-  spoilt[compressed.size() / 2] ^= 0x55;
-  EXPECT_FALSE(decompress_text(spoilt, limit));
+  std::string damaged = compressed;
+  damaged[compressed.size() / 2] ^= 0x55;
+  EXPECT_FALSE(decompress_text(damaged, limit));
 }
 
 RC_GTEST_PROP(compression_test, any_text_is_restored, ()) {
--- a/transport/test/peer-test.cc
+++ b/transport/test/peer-test.cc
@@ -97,8 +97,9 @@
   // The first write to the closed connection only triggers a TCP reset, so a
   // second one may be necessary to detect the loss.
   links.send(other, "none", make_params(0));
-  run_until(
-      [&lost, turns = 0]() mutable { return !lost.empty() || ++turns > 50; });
+  run_until([&lost, iterations = 0]() mutable {
+    return !lost.empty() || ++iterations > 50;
+  });
   if (lost.empty()) links.send(other, "none", make_params(0));
   ASSERT_TRUE(run_until([&lost] { return !lost.empty(); }));
   EXPECT_EQ(lost, std::vector<std::string>{other});
@@ -127,9 +128,9 @@
   ASSERT_TRUE(
       run_until([old_enough] { return boot_clock::now() > old_enough; }));
   // Simulates the node at `address`, which loses its connection to this one.
-  peer_options others;
-  others.own_address = address;
-  peer_links back(context_, secret, others);
+  peer_options other_options;
+  other_options.own_address = address;
+  peer_links back(context_, secret, other_options);
   auto server = std::make_unique<peer_server>(context_, secret, dispatcher_,
                                               random_, peer_options());
   ASSERT_TRUE(server->listen(other));
