--- a/base/include/trestlepost/base/log_writer.h
+++ b/base/include/trestlepost/base/log_writer.h
@@ -1,6 +1,5 @@
-// Keeps logging from ever stopping the process: lines that the reader of the
-// output does not take in time wait in a bounded buffer, and then are left
-// out and counted.
+// Non-blocking log output, so that a slow reader of the log cannot stall the
+// process. Lines are buffered up to a limit, then dropped and counted.
 #pragma once
 
 #include <chrono>
@@ -15,35 +14,35 @@
 
 namespace trestlepost {
 
-/// Writes whole lines to a file descriptor without waiting for its reader.
+/// Writes lines to a file descriptor without blocking.
 class log_writer {
  public:
-  /// Bytes that may wait for the reader.
+  /// Maximum size of the buffer in bytes.
   static constexpr std::size_t default_capacity = 256UL * 1024;
 
   explicit log_writer(int fd, std::size_t capacity = default_capacity)
       : fd_(fd), capacity_(capacity) {}
 
-  /// Takes a line, with its end of line; leaves it out when the buffer is
-  /// full.
+  /// Queues a line, which includes its line break, and flushes. Drops the line
+  /// if the buffer is full.
   void push(std::string line);
-  /// Writes what the reader takes now.
+  /// Writes as much of the buffer as possible without blocking.
   void flush();
 
-  std::uint64_t lines_left_out() const { return left_out_; }
+  std::uint64_t lines_dropped() const { return dropped_; }
 
  private:
-  bool may_write() const;
+  bool is_writable() const;
 
   int fd_;
   std::size_t capacity_;
-  std::deque<std::string> waiting_;
-  std::size_t waiting_bytes_ = 0;
-  std::size_t written_of_first_ = 0;
-  std::uint64_t left_out_ = 0;
+  std::deque<std::string> queue_;
+  std::size_t queued_bytes_ = 0;
+  std::size_t front_written_ = 0;
+  std::uint64_t dropped_ = 0;
 };
 
-/// Bounds the lines of each kind of event.
+/// Token bucket for each event name, which limits its rate of log lines.
 class log_rate_limiter {
  public:
   struct options {
@@ -53,18 +52,19 @@
 
   explicit log_rate_limiter(options limits) : limits_(limits) {}
 
-  struct verdict {
+  struct decision {
     bool write = true;
-    /// Lines of this kind left out since the last one that was written.
-    std::uint64_t left_out_before = 0;
+    /// Lines of this event dropped since the last one that was written.
+    std::uint64_t dropped_before = 0;
   };
-  verdict ask(std::string_view event, monotonic_time now);
+  /// Decides whether the event may be written at `now`, and counts it if not.
+  decision admit(std::string_view event, monotonic_time now);
 
  private:
   struct bucket {
     double tokens = 0;
     monotonic_time at;
-    std::uint64_t left_out = 0;
+    std::uint64_t dropped = 0;
   };
 
   options limits_;
--- a/bench/src/endpoint.cc
+++ b/bench/src/endpoint.cc
@@ -21,8 +21,8 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using transport::awaitable;
-using transport::http_answer;
 using transport::http_exchange;
+using transport::http_response;
 
 constexpr std::size_t characters_per_token = 4;
 constexpr std::size_t prefix_bytes = 512;
@@ -109,7 +109,7 @@
   /// Decode time of one token at the present batch size.
   microseconds token_time() const;
   void log(const run_request& request, const char* phase) const;
-  http_answer make_answer_head(const run_request& request) const;
+  http_response make_answer_head(const run_request& request) const;
 
   transport::asio::io_context& io_;
   const endpoint_options& options_;
@@ -158,9 +158,9 @@
               request.attempt, request.key, phase});
 }
 
-http_answer endpoint_handler::make_answer_head(
+http_response endpoint_handler::make_answer_head(
     const run_request& request) const {
-  http_answer out;
+  http_response out;
   std::string echoed = request.attempt;
   if (fault_ == fault::crossed) echoed = "another-attempt";
   out.headers = {{"Trestlepost-Attempt", echoed},
@@ -177,7 +177,7 @@
   const std::shared_ptr<queued_run> waiter = std::make_shared<queued_run>(io_);
   const auto queue_entry = waiting_.emplace(priority, waiter);
   bool disconnected = false;
-  exchange.on_gone([waiter, &disconnected] {
+  exchange.on_disconnect([waiter, &disconnected] {
     disconnected = true;
     waiter->wake.cancel();
   });
@@ -187,7 +187,7 @@
     co_await waiter->wake.async_wait(
         boost::asio::redirect_error(boost::asio::use_awaitable, ec));
   }
-  exchange.on_gone(nullptr);
+  exchange.on_disconnect(nullptr);
   if (waiter->started) co_return true;
   waiting_.erase(queue_entry);
   co_return false;
@@ -223,7 +223,7 @@
   body["running"] = samples_.front().running;
   body["waiting"] = samples_.front().waiting;
   body["slots"] = options_.slots;
-  http_answer answer;
+  http_response answer;
   answer.body = to_text(body);
   co_await exchange.respond(std::move(answer));
 }
@@ -241,7 +241,7 @@
   body["region"] = options_.region;
   body["request_id"] = request.request_id;
   body["run"] = json(Json::UInt64(runs_));
-  http_answer answer = make_answer_head(request);
+  http_response answer = make_answer_head(request);
   answer.body = to_text(body);
   if (fault_ == fault::cut) {
     co_await exchange.start_stream(std::move(answer));
@@ -275,7 +275,7 @@
   const std::uint64_t prefill_tokens =
       cached ? request.prompt_tokens / 10 + 1 : request.prompt_tokens;
   co_await wait_scaled(options_.prefill_per_token * prefill_tokens);
-  http_answer head = make_answer_head(request);
+  http_response head = make_answer_head(request);
   if (request.stream) {
     head.content_type = "text/event-stream";
     bool open = co_await exchange.start_stream(std::move(head));
@@ -299,13 +299,13 @@
     co_return;
   }
   bool disconnected = false;
-  exchange.on_gone([&disconnected] { disconnected = true; });
+  exchange.on_disconnect([&disconnected] { disconnected = true; });
   for (std::uint64_t done = 0; done < request.tokens && !disconnected;) {
     const std::uint64_t n = std::min(tokens_per_piece, request.tokens - done);
     co_await wait_scaled(token_time() * n);
     done += n;
   }
-  exchange.on_gone(nullptr);
+  exchange.on_disconnect(nullptr);
   if (disconnected) co_return;
   log(request, "end");
   json body;
@@ -322,7 +322,7 @@
 awaitable<void> endpoint_handler::run(http_exchange& exchange,
                                       run_request request) {
   if (fault_ == fault::refuse) {
-    http_answer answer = make_answer_head(request);
+    http_response answer = make_answer_head(request);
     answer.status = 503;
     co_await exchange.respond(std::move(answer));
     co_return;
@@ -334,7 +334,7 @@
   if (fault_ == fault::hang) {
     constexpr milliseconds long_time{3'600'000};
     bool disconnected = false;
-    exchange.on_gone([&disconnected] { disconnected = true; });
+    exchange.on_disconnect([&disconnected] { disconnected = true; });
     while (!disconnected)
       co_await wait_scaled(std::min(long_time, milliseconds(100)));
     co_return;
@@ -360,7 +360,7 @@
   constexpr std::string_view fault_path = "/stand-in/fault?";
   if (target.starts_with(fault_path)) {
     fault_ = fault_from(target.substr(fault_path.size()));
-    http_answer answer;
+    http_response answer;
     co_await exchange.respond(std::move(answer));
     co_return;
   }
--- a/own/include/trestlepost/own/codecs.h
+++ b/own/include/trestlepost/own/codecs.h
@@ -24,7 +24,7 @@
   /// generates one. The host is left empty because no rule matches on it.
   result<surface::call_head> read_head(
       const transport::http_exchange& exchange) const override;
-  transport::http_answer refuse(const surface::refusal& why) const override;
+  transport::http_response refuse(const surface::refusal& why) const override;
 };
 
 /// Encodes requests to endpoints and parses the heads of their answers.
@@ -64,16 +64,16 @@
       std::string_view method, std::string_view target) const override;
   /// Returns the labels of the requests for which the caller looks up an entry.
   result<config::label_map> read_labels(std::string_view target) const;
-  transport::http_answer show_entries(
+  transport::http_response show_entries(
       const std::vector<membership::entry_view>& entries,
       std::chrono::milliseconds lifetime) const override;
   bool is_readiness_query(std::string_view method,
                           std::string_view target) const override;
   /// Returns whether this is a liveness check, which any running node answers.
   bool is_health_query(std::string_view target) const;
-  transport::http_answer show_readiness(
+  transport::http_response show_readiness(
       const surface::node_report& node) const override;
-  transport::http_answer refuse(const error& why) const override;
+  transport::http_response refuse(const error& why) const override;
 };
 
 /// Returns the HTTP status of a refusal.
--- a/own/src/caller_codec.cc
+++ b/own/src/caller_codec.cc
@@ -78,9 +78,9 @@
   return out;
 }
 
-transport::http_answer caller_codec::refuse(const surface::refusal& why) const {
+transport::http_response caller_codec::refuse(const surface::refusal& why) const {
   // Retry-After has whole seconds, so it is rounded up.
-  transport::http_answer out = transport::problem_answer(
+  transport::http_response out = transport::problem_response(
       status_of(why.cause.kind), why.cause, to_string(why.ran),
       std::chrono::ceil<std::chrono::seconds>(why.retry_after));
   if (!why.request_id.empty()) {
--- a/transport/src/peer_frame.h
+++ b/transport/src/peer_frame.h
@@ -1,4 +1,6 @@
-// The frame format that peers share; not installed.
+// Frame format of connections between nodes. A frame is the length of its
+// payload (4 bytes, big-endian), an HMAC and the payload. Private to this
+// package.
 #pragma once
 
 #include <array>
@@ -15,11 +17,13 @@
 inline constexpr std::size_t length_size = 4;
 inline constexpr std::size_t frame_head_size = length_size + digest_size;
 
-/// Sent first on each connection, before any other message.
+/// Method of the first notification on each connection.
 inline constexpr char hello_method[] = "hello";
 
-inline std::string counted(std::string_view challenge, std::uint64_t counter,
-                           std::string_view payload) {
+/// Concatenates the data that a frame's HMAC covers.
+inline std::string authenticated_data(std::string_view challenge,
+                                      std::uint64_t counter,
+                                      std::string_view payload) {
   std::string out(challenge);
   for (int shift = 56; shift >= 0; shift -= 8) {
     out += static_cast<char>((counter >> shift) & 0xff);
@@ -28,9 +32,12 @@
   return out;
 }
 
-inline digest frame_digest(std::string_view secret, std::string_view challenge,
-                           std::uint64_t counter, std::string_view payload) {
-  return keyed_digest(secret, counted(challenge, counter, payload));
+/// Returns the HMAC of the frame with number `counter` on a connection.
+inline sha256_digest frame_digest(std::string_view secret,
+                                  std::string_view challenge,
+                                  std::uint64_t counter,
+                                  std::string_view payload) {
+  return hmac_sha256(secret, authenticated_data(challenge, counter, payload));
 }
 
 inline std::string encode_length(std::size_t n) {
@@ -53,7 +60,7 @@
                                 std::string_view challenge,
                                 std::uint64_t counter,
                                 std::string_view payload) {
-  const digest sum = frame_digest(secret, challenge, counter, payload);
+  const sha256_digest sum = frame_digest(secret, challenge, counter, payload);
   std::string out = encode_length(payload.size());
   out.append(reinterpret_cast<const char*>(sum.data()), sum.size());
   out += payload;
--- a/transport/src/socket_options.cc
+++ b/transport/src/socket_options.cc
@@ -1,3 +1,4 @@
+// Address parsing and socket options that asio.h declares.
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -9,10 +10,11 @@
 namespace trestlepost::transport {
 namespace {
 
-// Unacknowledged data for so long means that the peer or the link is gone.
-constexpr int unacknowledged_ms = 5000;
-// Until an idle connection is probed, and between probes.
-constexpr int probe_seconds = 1;
+// TCP user timeout of accepted connections in milliseconds. Data that is
+// unacknowledged for longer means that the host or the network has failed.
+constexpr int user_timeout_ms = 5000;
+// Idle time in seconds before the first keep-alive probe, and between probes.
+constexpr int probe_interval_s = 1;
 
 void set_no_delay(tcp::socket& socket) {
   boost::system::error_code ec;
@@ -45,27 +47,29 @@
 
 void set_accepted_options(tcp::socket& socket) {
   set_no_delay(socket);
-  set_tcp_option(socket, TCP_USER_TIMEOUT, unacknowledged_ms);
+  set_tcp_option(socket, TCP_USER_TIMEOUT, user_timeout_ms);
 }
 
-void set_opened_options(tcp::socket& socket,
-                        std::chrono::milliseconds silence) {
+void set_outgoing_options(tcp::socket& socket,
+                          std::chrono::milliseconds tcp_user_timeout) {
   set_no_delay(socket);
   boost::system::error_code ec;
   socket.set_option(asio::socket_base::keep_alive(true), ec);
-  set_tcp_option(socket, TCP_KEEPIDLE, probe_seconds);
-  set_tcp_option(socket, TCP_KEEPINTVL, probe_seconds);
-  set_tcp_option(socket, TCP_USER_TIMEOUT, static_cast<int>(silence.count()));
+  set_tcp_option(socket, TCP_KEEPIDLE, probe_interval_s);
+  set_tcp_option(socket, TCP_KEEPINTVL, probe_interval_s);
+  set_tcp_option(socket, TCP_USER_TIMEOUT,
+                 static_cast<int>(tcp_user_timeout.count()));
 }
 
-void open_from(tcp::socket& socket, const tcp::endpoint& to,
-               const std::string& source_ip) {
+void open_and_bind(tcp::socket& socket, const tcp::endpoint& to,
+                   const std::string& source_ip) {
   if (source_ip.empty()) return;
   boost::system::error_code ec;
   const asio::ip::address ip = asio::ip::make_address(source_ip, ec);
   if (!ec) socket.open(to.protocol(), ec);
   if (ec) return;
-  // The port is chosen on connecting, so that many peers share one.
+  // The system selects the port on connect instead of bind, so that connections
+  // to different peers can share a port.
   const int on = 1;
   ::setsockopt(socket.native_handle(), IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &on,
                sizeof on);
@@ -83,9 +87,10 @@
   if (!ec) out.bind(*at, ec);
   if (!ec) out.listen(asio::socket_base::max_listen_connections, ec);
   if (ec) {
-    return fail(error_kind::bad_settings,
-                "cannot listen on " + address + ": " + ec.message(),
-                "stop what uses the address, or set another one");
+    return fail(
+        error_kind::bad_settings,
+        "cannot listen on " + address + ": " + ec.message(),
+        "stop the process that uses the address, or set another address");
   }
   return out;
 }
