--- a/config/src/change.cc
+++ b/config/src/change.cc
@@ -122,7 +122,7 @@
   if (hold.isObject()) out.hold = request_hold_from(hold);
   if (out.id.empty()) {
     return fail(error_kind::bad_input, "the change has no id",
-                "set --change-id, or let `trestlepost apply` generate one");
+                "give --change-id, or let `trestlepost apply` draw one");
   }
   return out;
 }
@@ -135,8 +135,7 @@
   const std::optional<std::string> text =
       decompress_printable(command, max_command_bytes);
   if (!text) {
-    return fail(error_kind::corrupt,
-                "a change in the log cannot be decompressed",
+    return fail(error_kind::corrupt, "a change of the log does not unpack",
                 "run the version of trestlepostd that wrote it");
   }
   const result<json> parsed = parse_json(*text);
--- a/config/src/plan_delta.cc
+++ b/config/src/plan_delta.cc
@@ -94,8 +94,7 @@
   plan_delta out;
   out.number = number_of(value, "number");
   if (out.number == 0) {
-    return fail(error_kind::bad_input,
-                "a change of the traffic plan has no number",
+    return fail(error_kind::bad_input, "a change of the plan has no number",
                 "run one version of trestlepostd on all nodes");
   }
   out.written = routes_from(member_of(value, "written"));
--- a/config/src/plan_edit.cc
+++ b/config/src/plan_edit.cc
@@ -39,7 +39,7 @@
   if (!document) {
     return fail(error_kind::corrupt,
                 "the document of plan " + std::to_string(edit.delta.number) +
-                    " cannot be derived from the document of plan " +
+                    " does not follow from that of plan " +
                     std::to_string(edit.base),
                 "run one version of trestlepostd on all nodes");
   }
--- a/config/src/selector.cc
+++ b/config/src/selector.cc
@@ -44,7 +44,7 @@
   selector out;
   if (value.isNull()) return out;
   if (!value.isObject()) {
-    problems.add(value, path, "expected a selector object", selector_remedy);
+    problems.add(value, path, "a selector is expected", selector_remedy);
     return out;
   }
   for (auto it = value.begin(); it != value.end(); ++it) {
@@ -53,7 +53,7 @@
     const bool ok =
         it->isObject() ? read_operator(*it, one) : read_values(*it, one.values);
     if (!ok) {
-      problems.add(*it, path + "." + one.key, "invalid selector condition",
+      problems.add(*it, path + "." + one.key, "the condition is not understood",
                    selector_remedy);
       continue;
     }
--- a/config/src/state_machine.cc
+++ b/config/src/state_machine.cc
@@ -97,10 +97,10 @@
   if (edit.base != number_in_force()) {
     return rejected(change_status::conflict, store_.revision(),
                     "plan " + std::to_string(number_in_force()) +
-                        " is in force, not plan " + std::to_string(edit.base) +
-                        ", on which plan " + std::to_string(edit.delta.number) +
-                        " is based",
-                    "recreate the change from the plan in force");
+                        " holds, not plan " + std::to_string(edit.base) +
+                        ", from which plan " +
+                        std::to_string(edit.delta.number) + " was made",
+                    "make the change anew from the plan that holds");
   }
   result<traffic_plan> next = apply_plan_edit(store_.plan().get(), edit);
   const result<void> valid =
@@ -119,12 +119,12 @@
 }
 
 change_result config_state_machine::plan_unchanged() const {
-  return {change_status::accepted,
-          store_.revision(),
-          "plan " + std::to_string(number_in_force()) +
-              " is in force; nothing changed",
-          "",
-          {}};
+  return {
+      change_status::accepted,
+      store_.revision(),
+      "plan " + std::to_string(number_in_force()) + " holds; nothing changed",
+      "",
+      {}};
 }
 
 change_result config_state_machine::install_plan(const change& requested,
@@ -253,7 +253,7 @@
                         ", after the revision " + std::to_string(*it.base) +
                         " that this change was made from",
                     "read it again with `trestlepost get " + what +
-                        "`, recreate the change, and apply it under a new "
+                        "`, make the change anew, and apply it under a new "
                         "--change-id");
   }
   return std::nullopt;
@@ -287,7 +287,7 @@
   if (!problems.empty()) {
     return rejected(change_status::invalid, store_.revision(),
                     problems.to_text("change"),
-                    "correct the named objects and apply again under a new "
+                    "mend the objects named and apply again under a new "
                     "--change-id");
   }
   applied_change accepted{next, requested.at, requested.edits, nullptr, {}, {}};
--- a/config/src/store.cc
+++ b/config/src/store.cc
@@ -41,7 +41,7 @@
   const json& base = member_of(value, "base");
   if (base.isUInt64()) out.base = base.asUInt64();
   if (out.name.empty()) {
-    return fail(error_kind::bad_input, "an edit has no object name",
+    return fail(error_kind::bad_input, "an edit names no object",
                 "give every object a \"name\"");
   }
   return out;
@@ -328,7 +328,7 @@
   }
   if (!problems.empty()) {
     return fail(error_kind::corrupt,
-                "a stored configuration cannot be read: " +
+                "a stored configuration does not read: " +
                     problems.to_text("configuration"),
                 "run the version of trestlepostd that wrote it");
   }
--- a/config/src/traffic_plan.cc
+++ b/config/src/traffic_plan.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr char plan_remedy[] = "correct the plan and send it again";
+constexpr char plan_remedy[] = "mend the plan and send it again";
 
 milliseconds duration_of(const json& value, const char* key) {
   return milliseconds(static_cast<std::int64_t>(number_of(value, key)));
@@ -91,7 +91,7 @@
   for (const weighted_service& one : it.split) {
     if (plan.find_service(one.service) == nullptr) {
       return invalid("route " + it.name + " names the service " + one.service +
-                     ", which the plan does not define");
+                     ", which the plan does not hold");
     }
     sum += one.weight;
   }
@@ -253,8 +253,7 @@
     result<void> valid = validate_route(value, it);
     if (!valid) return valid;
     if (!keys.insert({it.host, it.path_prefix}).second) {
-      return invalid("two routes have the host and path prefix " + it.host +
-                     it.path_prefix);
+      return invalid("two routes stand at " + it.host + it.path_prefix);
     }
   }
   return {};
--- a/gateway/include/trestlepost/gateway/engine_evaluator.h
+++ b/gateway/include/trestlepost/gateway/engine_evaluator.h
@@ -20,11 +20,10 @@
 
 /// Estimates the completion of `work` at `view` if the endpoint has to process
 /// `tokens` prompt tokens, including the wait for an engine slot.
-routing::completion_estimate estimate_completion(const membership::endpoint_view& view,
-                                     const routing::engine_work& work,
-                                     std::uint32_t tokens,
-                                     const config::engine_profile& engine,
-                                     const routing::engine_table& engines);
+routing::completion_estimate estimate_completion(
+    const membership::endpoint_view& view, const routing::engine_work& work,
+    std::uint32_t tokens, const config::engine_profile& engine,
+    const routing::engine_table& engines);
 
 /// An endpoint and the criteria it is compared by.
 struct evaluated_endpoint {
--- a/gateway/include/trestlepost/gateway/routed_request.h
+++ b/gateway/include/trestlepost/gateway/routed_request.h
@@ -43,8 +43,8 @@
 
 /// Returns the latency objective and the remaining time for an answer that
 /// starts at `now`.
-routing::latency_requirements latency_requirements_of(const routed_request& request,
-                                             monotonic_time now);
+routing::latency_requirements latency_requirements_of(
+    const routed_request& request, monotonic_time now);
 
 /// Returns whether `route` permits `region` to serve, cache and store its
 /// requests.
--- a/gateway/src/crash_monitor.cc
+++ b/gateway/src/crash_monitor.cc
@@ -168,7 +168,8 @@
 void crash_monitor::apply_own_verdicts() {
   add_suspects(attribution_.take_suspects());
   const monotonic_time now = context_.clock.now();
-  for (const routing::hold_proposal& it : attribution_.take_hold_proposals(now)) {
+  for (const routing::hold_proposal& it :
+       attribution_.take_hold_proposals(now)) {
     hold_locally(it.fingerprint);
   }
 }
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -55,8 +55,8 @@
   listed_ = std::move(local);
   warmth_.set_list_revision(covers);
   for (const surface::listed_endpoint& it : listed_) {
-    warmth_.record_cold(it.identity.name(), it.cold_left, routing::warmth_source::list,
-                 now);
+    warmth_.record_cold(it.identity.name(), it.cold_left,
+                        routing::warmth_source::list, now);
   }
   refresh();
 }
@@ -296,8 +296,8 @@
                                   const surface::endpoint_answer& answer) {
   const monotonic_time now = context_.clock.now();
   if (answer.cold_left) {
-    warmth_.record_cold(endpoint, *answer.cold_left, routing::warmth_source::answer,
-                 now);
+    warmth_.record_cold(endpoint, *answer.cold_left,
+                        routing::warmth_source::answer, now);
   }
   monotonic_time& last = observed_at_[endpoint];
   if (!answer.load || now < last + min_report_interval) return;
--- a/gateway/src/endpoint_runner.cc
+++ b/gateway/src/endpoint_runner.cc
@@ -338,7 +338,8 @@
                         "check the endpoint " + current.endpoint.name};
       co_return handle_interruption(current, cause);
     }
-    if (!ended) pool_.engines().record_event(current.ticket, context_.clock.now());
+    if (!ended)
+      pool_.engines().record_event(current.ticket, context_.clock.now());
     scan_result found = ended ? current.events.finish()
                               : current.events.push(std::move(*piece));
     const stream_fault fault = found.fault;
--- a/gateway/src/engine_evaluator.cc
+++ b/gateway/src/engine_evaluator.cc
@@ -41,14 +41,14 @@
 
 }  // namespace
 
-routing::completion_estimate estimate_completion(const endpoint_view& view,
-                                     const routing::engine_work& work,
-                                     std::uint32_t tokens,
-                                     const config::engine_profile& engine,
-                                     const routing::engine_table& engines) {
-  return routing::delayed(engines.predict(view.name, work, tokens, view.load),
-                          routing::slot_wait(view.load, engine.batch_slots,
-                                             engines.mean_slot_time(view.service)));
+routing::completion_estimate estimate_completion(
+    const endpoint_view& view, const routing::engine_work& work,
+    std::uint32_t tokens, const config::engine_profile& engine,
+    const routing::engine_table& engines) {
+  return routing::delayed(
+      engines.predict(view.name, work, tokens, view.load),
+      routing::slot_wait(view.load, engine.batch_slots,
+                         engines.mean_slot_time(view.service)));
 }
 
 engine_evaluator::engine_evaluator(const std::vector<endpoint_view>& available,
--- a/gateway/src/metrics.cc
+++ b/gateway/src/metrics.cc
@@ -34,27 +34,27 @@
     : requests_(counter(registry, "trestlepost_requests_total",
                         "Requests of callers, by service and outcome.")),
       durations_(histogram(registry, "trestlepost_request_duration_seconds",
-                           "Time until the answer was complete.")),
+                           "Time until the answer was whole.")),
       first_pieces_(histogram(registry, "trestlepost_first_piece_seconds",
                               "Time until the first piece of the answer.")),
       served_(counter(registry, "trestlepost_served_total",
                       "Answered requests, by the region that served them.")),
       sends_(counter(registry, "trestlepost_sends_total",
-                     "Requests written to endpoints of the local region.")),
+                     "Requests written to endpoints of the own region.")),
       retries_(counter(registry, "trestlepost_retries_total",
                        "Second and later attempts.")),
       retries_denied_(counter(registry, "trestlepost_retries_denied_total",
-                              "Retries denied by the retry budget.")),
-      resumptions_(
-          counter(registry, "trestlepost_stream_resumptions_total",
-                  "Interrupted streams continued at another endpoint.")),
-      interrupted_runs_(counter(registry, "trestlepost_runs_broken_total",
-                                "Runs interrupted by a lost connection, by the "
-                                "state of the endpoint.")),
+                              "Retries that the budget did not pay for.")),
+      resumptions_(counter(registry, "trestlepost_stream_resumptions_total",
+                           "Broken streams continued at another endpoint.")),
+      interrupted_runs_(
+          counter(registry, "trestlepost_runs_broken_total",
+                  "Runs that broke off with their connection, by what "
+                  "became of the endpoint.")),
       forwards_(counter(registry, "trestlepost_forwards_total",
                         "Requests sent to another region.")),
       queue_(gauge(registry, "trestlepost_queue_length",
-                   "Requests queued for an endpoint.")) {}
+                   "Requests that wait for an endpoint.")) {}
 
 void gateway_metrics::request_done(const std::string& service,
                                    const std::string& outcome,
--- a/gateway/src/route_forwarder.cc
+++ b/gateway/src/route_forwarder.cc
@@ -66,12 +66,14 @@
   const std::string place = region + "/" + service;
   const bool rejected = outcome.ran == run_state::no && outcome.sends > 0;
   if (rejected) acceptance_.record_rejected(place, context_.clock.now());
-  if (outcome.delivered) acceptance_.record_accepted(place, context_.clock.now());
+  if (outcome.delivered)
+    acceptance_.record_accepted(place, context_.clock.now());
 }
 
 double route_forwarder::acceptance_probability(
     const std::string& region, const std::string& service) const {
-  return acceptance_.accept_probability(region + "/" + service, context_.clock.now());
+  return acceptance_.accept_probability(region + "/" + service,
+                                        context_.clock.now());
 }
 
 transport::http_request route_forwarder::make_request(
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -58,7 +58,8 @@
 }
 
 double remote_cost(const routing::engine_work& work) {
-  return forwarding_cost + remote_miss_probability * routing::duplicate_prefill_cost *
+  return forwarding_cost + remote_miss_probability *
+                               routing::duplicate_prefill_cost *
                                shared_prompt_fraction(work);
 }
 
@@ -109,13 +110,14 @@
 
 std::optional<valued_decision> evaluate_local_region(
     const gateway_context& context, const endpoint_pool& local_pool,
-    const routed_request& request, const routing::latency_requirements& requirements) {
+    const routed_request& request,
+    const routing::latency_requirements& requirements) {
   const result<chosen_endpoint> chosen = local_pool.choose(request);
   if (!chosen) return std::nullopt;
-  return valued_decision{
-      {context.self.region, *chosen},
-      routing::discounted_value(routing::net_value(chosen->expected, requirements),
-                            chosen->acceptance_probability)};
+  return valued_decision{{context.self.region, *chosen},
+                         routing::discounted_value(
+                             routing::net_value(chosen->expected, requirements),
+                             chosen->acceptance_probability)};
 }
 
 /// Returns the other region with the highest value.
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -45,7 +45,8 @@
 /// Returns whether a request with the estimate `expected` would start too late.
 /// Only the wait before its own prompt is compared, so that long prompts are
 /// not refused earlier than short ones.
-bool too_late(const routed_request& request, const routing::completion_estimate& expected,
+bool too_late(const routed_request& request,
+              const routing::completion_estimate& expected,
               monotonic_time now) {
   if (now + expected.wait >= request.deadline) return true;
   const bool stream = request.route->kind == config::route_kind::stream;
--- a/gateway/src/routed_request.cc
+++ b/gateway/src/routed_request.cc
@@ -28,8 +28,8 @@
   return out;
 }
 
-routing::latency_requirements latency_requirements_of(const routed_request& request,
-                                             monotonic_time now) {
+routing::latency_requirements latency_requirements_of(
+    const routed_request& request, monotonic_time now) {
   return {request.route->latency_objective,
           std::chrono::duration_cast<std::chrono::milliseconds>(
               request.deadline - now)};
--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -242,8 +242,8 @@
     // arrives.
     const json& sender = alive.isObject() ? alive : beat;
     watchers_.handle_poll({poller, address, via, number_of(sender, "sequence"),
-                      number_of(params, "revision"),
-                      flag_of(params, "missed")});
+                           number_of(params, "revision"),
+                           flag_of(params, "missed")});
     orders_.acknowledge_confirmed();
     answer["confirmed"] = true;
     answer["update"] = make_update(number_of(params, "book_version"),
--- a/node/src/digest_service.cc
+++ b/node/src/digest_service.cc
@@ -156,7 +156,8 @@
   const monotonic_time now = context_.clock.now();
   membership::region_digest out = writer_.make_digest(it.known, std::nullopt);
   out.services = content.services;
-  out.sums = membership::excluding_node(content.sums, context_.nodes, name, now);
+  out.sums =
+      membership::excluding_node(content.sums, context_.nodes, name, now);
   out.reports = content.reports;
   const node_record* receiver = context_.nodes.find(name);
   if (receiver != nullptr) {
--- a/node/src/region_peers.cc
+++ b/node/src/region_peers.cc
@@ -28,9 +28,9 @@
 }
 
 std::chrono::milliseconds heartbeat_interval(const node_context& context) {
-  return membership::scaled_heartbeat_interval(context.options.timing.heartbeat_interval,
-                                   peers_in_region(context).size() + 1,
-                                   context.nodes.options());
+  return membership::scaled_heartbeat_interval(
+      context.options.timing.heartbeat_interval,
+      peers_in_region(context).size() + 1, context.nodes.options());
 }
 
 std::vector<std::string> other_regions(const node_context& context) {
--- a/own/src/caller_codec.cc
+++ b/own/src/caller_codec.cc
@@ -78,7 +78,8 @@
   return out;
 }
 
-transport::http_response caller_codec::refuse(const surface::refusal& why) const {
+transport::http_response caller_codec::refuse(
+    const surface::refusal& why) const {
   // Retry-After has whole seconds, so it is rounded up.
   transport::http_response out = transport::problem_response(
       status_of(why.cause.kind), why.cause, to_string(why.ran),
