--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -105,7 +105,7 @@
   if (machine_.store().plan()) return true;
   // Before the first plan the group may still be growing. It must have enough
   // voters before an acknowledged change can survive the tolerated losses.
-  return growth_.is_formed(
+  return formation_.is_formed(
       *host_, context_.clock.now(),
       consensus::voters_to_tolerate(context_.options.tolerated_losses));
 }
@@ -119,7 +119,7 @@
   const consensus::replica_id joiner = consensus::replica_id_from(params);
   const std::string address = text_of(params, "address");
   const monotonic_time now = context_.clock.now();
-  if (growth_.handle_join(*host_, now, joiner, address)) return;
+  if (formation_.handle_join(*host_, now, joiner, address)) return;
   const std::string leader = leader_node();
   if (leader.empty() || flag_of(params, "passed_on")) return;
   json forwarded = params;
@@ -132,7 +132,7 @@
 }
 
 std::string control_service::address_of(const std::string& node) const {
-  const std::string known = growth_.address_of(*host_, node);
+  const std::string known = formation_.address_of(*host_, node);
   return known.empty() ? context_.peer_address(node) : known;
 }
 
@@ -143,8 +143,8 @@
       [this](const json& params, const transport::rpc_context&) {
         const result<consensus::message> in = consensus::message_from(params);
         if (!in) return;
-        growth_.record_address(*host_, context_.clock.now(), in->from,
-                               text_of(params, "from_address"));
+        formation_.record_address(*host_, context_.clock.now(), in->from,
+                                  text_of(params, "from_address"));
         host_->receive(context_.clock.now(), *in);
         orders_.complete_reads();
       });
@@ -200,8 +200,9 @@
   }
   const std::string name = text_of(alive, "name");
   const std::uint64_t incarnation = number_of(alive, "incarnation");
-  const membership::node_info* met = node_directory_.find(name);
-  const bool in_book = met != nullptr && met->incarnation == incarnation;
+  const membership::node_info* known_node = node_directory_.find(name);
+  const bool in_book =
+      known_node != nullptr && known_node->incarnation == incarnation;
   const bool known =
       in_book && context_.nodes.observe_alive(
                      name, incarnation, number_of(alive, "sequence"),
@@ -334,7 +335,7 @@
 }
 
 bool control_service::is_confirmed(config::revision_number revision) const {
-  const std::optional<monotonic_time> since = growth_.leading_since();
+  const std::optional<monotonic_time> since = formation_.leading_since();
   const monotonic_time now = context_.clock.now();
   // A new leader does not know all watchers until they have polled it.
   const bool known = since && *since + watcher_discovery_time <= now;
@@ -476,13 +477,13 @@
 
 void control_service::found_ledgers() {
   const monotonic_time now = context_.clock.now();
-  growth_.update(*host_, now, leads(), context_.self.peer_address);
-  if (!growth_.leading_since()) {
+  formation_.update(*host_, now, leads(), context_.self.peer_address);
+  if (!formation_.leading_since()) {
     proposed_ledgers_.clear();
     return;
   }
   if (now <
-      *growth_.leading_since() +
+      *formation_.leading_since() +
           ledger_founding_delay * context_.options.timing.election_timeout) {
     return;
   }
--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -52,8 +52,7 @@
   const config::config_state_machine& machine() const { return machine_; }
   /// Whether this node leads and holds the leader's lease.
   bool leads() const;
-  /// Whether this node takes itself for the leader; it need not hold the
-  /// lease.
+  /// Whether this node is the leader of its term; it need not hold the lease.
   bool is_leader() const { return host_->core().is_leader(); }
   /// Whether changes may be acknowledged: there are enough voters to survive
   /// the loss of `tolerated_losses` control nodes.
@@ -75,7 +74,7 @@
   /// Operators' changes and reads, which any control node accepts.
   group_orders& orders() { return orders_; }
   /// The number of full or incremental configurations sent to watchers.
-  std::uint64_t contents_sent() const { return watchers_.updates_sent(); }
+  std::uint64_t updates_sent() const { return watchers_.updates_sent(); }
   /// `action` is called when all watchers have applied a revision, with the
   /// time since the revision was decided.
   void set_on_confirmed(std::function<void(std::chrono::milliseconds)> action) {
@@ -141,7 +140,7 @@
   group_maintenance maintenance_;
   config::config_state_machine machine_;
   std::unique_ptr<consensus::group_host> host_;
-  consensus::group_formation growth_{context_.observed_addresses};
+  consensus::group_formation formation_{context_.observed_addresses};
   config_watchers watchers_{context_, machine_};
   hold_proposer hold_proposer_{
       context_, machine_.store(), [this](config::change asked) {
--- a/node/src/crash_reporter.cc
+++ b/node/src/crash_reporter.cc
@@ -17,11 +17,11 @@
   if (pending_.size() > max_pending_reports) pending_.pop_front();
 }
 
-void crash_reporter::crashed(const routing::crash_report& report) {
+void crash_reporter::report_crash(const routing::crash_report& report) {
   enqueue(report);
 }
 
-void crash_reporter::ended_well(const std::string& fingerprint) {
+void crash_reporter::report_success(const std::string& fingerprint) {
   routing::crash_report report;
   report.fingerprint = fingerprint;
   report.at = context_.clock.now();
--- a/node/src/crash_reporter.h
+++ b/node/src/crash_reporter.h
@@ -17,8 +17,8 @@
  public:
   explicit crash_reporter(node_context& context) : context_(context) {}
 
-  void crashed(const routing::crash_report& report);
-  void ended_well(const std::string& fingerprint);
+  void report_crash(const routing::crash_report& report);
+  void report_success(const std::string& fingerprint);
   void tick();
 
  private:
--- a/node/src/digest_service.cc
+++ b/node/src/digest_service.cc
@@ -67,7 +67,7 @@
   const monotonic_time now = context_.clock.now();
   const membership::digest_outcome outcome =
       reader_.apply(*in, context_.self, context_.nodes, now);
-  choice_.digest_received(in->relay);
+  relay_selector_.digest_received(in->relay);
   if (outcome == membership::digest_outcome::stale) return false;
   if (outcome == membership::digest_outcome::gap) {
     log_event(log_level::debug, "digest-missed", {{"relay", in->relay}});
@@ -102,8 +102,8 @@
     if (known) reachable.push_back({name, leaving, control});
   }
   const bool enough = reachable.size() >= membership::relays_per_region;
-  return choice_.choose(context_.self.region, enough ? reachable : all,
-                        relay_timeout_heartbeats * interval(), now);
+  return relay_selector_.choose(context_.self.region, enough ? reachable : all,
+                                relay_timeout_heartbeats * interval(), now);
 }
 
 void digest_service::send_to_relays(const json& heartbeat) {
@@ -116,17 +116,17 @@
   for (const std::string& name : chosen) {
     json params = heartbeat;
     params["ask"] = membership::to_json(reader_.request_for(name));
-    choice_.heartbeat_sent(name, now);
+    relay_selector_.heartbeat_sent(name, now);
     context_.links.send(peer_addresses.at(name), "node.heartbeat", params);
   }
 }
 
 void digest_service::record_digest_request(
     const json& heartbeat, const membership::node_info& sender) {
-  const json& ask = member_of(heartbeat, "ask");
-  if (!ask.isObject()) return;
+  const json& request = member_of(heartbeat, "ask");
+  if (!request.isObject()) return;
   requesters_[sender.name] = {sender.peer_address,
-                              membership::digest_request_from(ask),
+                              membership::digest_request_from(request),
                               context_.clock.now(), true};
 }
 
--- a/node/src/digest_service.h
+++ b/node/src/digest_service.h
@@ -73,7 +73,7 @@
   node_context& context_;
   membership::digest_writer writer_;
   membership::digest_reader reader_;
-  membership::relay_selector choice_;
+  membership::relay_selector relay_selector_;
   std::map<std::string, requester> requesters_;  // by name
   std::uint64_t digest_round_ = 0;               // of digests to requesters
   std::uint64_t relay_heartbeats_ = 0;  // number of heartbeats sent to relays
--- a/node/src/endpoint_list_service.cc
+++ b/node/src/endpoint_list_service.cc
@@ -149,8 +149,8 @@
                      rank.own_rank);
   took_over_ = now >= list_received_at_ + timeout;
   if (took_over_) return true;
-  // Without the leader's node directory a gateway knows no others, and all of
-  // them would read.
+  // Without the leader's node directory each gateway ranks itself first, and
+  // all of them would read.
   if (context_.known_nodes.empty()) return false;
   if (!directory_received_at_) directory_received_at_ = now;
   if (now < *directory_received_at_ + directory_settle_time) return false;
@@ -164,7 +164,7 @@
 
 bool endpoint_list_service::publishes_list() const {
   // More nodes may be known now than when the read began: at startup many
-  // gateways take themselves for the first reader.
+  // gateways rank themselves first.
   return took_over_ || ranking().own_rank == 0;
 }
 
--- a/node/src/endpoint_list_updates.cc
+++ b/node/src/endpoint_list_updates.cc
@@ -139,11 +139,11 @@
 }
 
 listed_endpoint timestamped_endpoint::as_of(monotonic_time now) const {
-  const milliseconds passed =
+  const milliseconds elapsed =
       std::chrono::duration_cast<milliseconds>(now - at);
   listed_endpoint out = endpoint;
-  out.cold_left = remaining(out.cold_left, passed);
-  if (out.ends_in) out.ends_in = remaining(*out.ends_in, passed);
+  out.cold_left = remaining(out.cold_left, elapsed);
+  if (out.ends_in) out.ends_in = remaining(*out.ends_in, elapsed);
   return out;
 }
 
@@ -195,9 +195,10 @@
     const std::string name = it.identity.name();
     if (!named.insert(name).second) continue;
     const auto known = entries_.find(name);
-    const bool kept = known != entries_.end() && !known->second.removed &&
-                      is_equivalent(known->second.timestamped.as_of(now), it);
-    if (!kept) entries_[name] = {{it, now}, ++version_, false};
+    const bool unchanged =
+        known != entries_.end() && !known->second.removed &&
+        is_equivalent(known->second.timestamped.as_of(now), it);
+    if (!unchanged) entries_[name] = {{it, now}, ++version_, false};
   }
   for (auto& [id, it] : entries_) {
     if (it.removed || named.contains(id)) continue;
--- a/node/src/heartbeat_service.cc
+++ b/node/src/heartbeat_service.cc
@@ -91,9 +91,9 @@
 
 void heartbeat_service::handle_pong(const json& params) {
   const std::chrono::nanoseconds now = context_.clock.now().time_since_epoch();
-  const std::chrono::nanoseconds passed =
+  const std::chrono::nanoseconds elapsed =
       now - std::chrono::nanoseconds(number_of(params, "at"));
-  const double ms = std::chrono::duration<double, std::milli>(passed).count();
+  const double ms = std::chrono::duration<double, std::milli>(elapsed).count();
   constexpr double max_round_trip_ms = 60'000;
   if (ms < 0 || ms > max_round_trip_ms) return;
   milliseconds& known = context_.round_trips[text_of(params, "region")];
@@ -156,12 +156,12 @@
   summary.sequence = ++sequence_;
   for (const node_record* it :
        context_.nodes.live_in(context_.self.region, context_.clock.now())) {
-    membership::heartbeat brief = it->last;
-    brief.endpoint_in_flight.clear();
-    brief.reports.clear();
-    brief.pending_tokens.clear();
-    brief.cached_prefixes.clear();
-    summary.nodes.push_back(std::move(brief));
+    membership::heartbeat reduced = it->last;
+    reduced.endpoint_in_flight.clear();
+    reduced.reports.clear();
+    reduced.pending_tokens.clear();
+    reduced.cached_prefixes.clear();
+    summary.nodes.push_back(std::move(reduced));
   }
   json params;
   params["summary"] = membership::to_json(summary);
--- a/node/src/hold_proposer.cc
+++ b/node/src/hold_proposer.cc
@@ -95,8 +95,8 @@
     config::change asked;
     asked.id = make_request_id(context_.random);
     asked.operator_name = operator_name;
-    asked.hold = config::request_hold{fingerprint, true, it.verdict.service,
-                                      evidence_of(it.verdict)};
+    asked.hold = config::request_hold{fingerprint, true, it.proposal.service,
+                                      evidence_of(it.proposal)};
     propose_(std::move(asked));
   }
 }
--- a/node/src/ledger_service.cc
+++ b/node/src/ledger_service.cc
@@ -202,13 +202,13 @@
   ledger::fence_command asked =
       ledger::fence_from(member_of(params, "command"));
   const std::string reply_to = text_of(params, "reply_to");
-  const std::string asked_attempt = asked.attempt;
+  const std::string requested_attempt = asked.attempt;
   // Each resend gets its own attempt id here, so that each is answered.
   asked.attempt = make_attempt_id();
   claims_.fence(asked, context_.clock.now(),
-                [this, reply_to, asked_attempt](const claim_decision& it) {
+                [this, reply_to, requested_attempt](const claim_decision& it) {
                   claim_decision answer = it;
-                  answer.attempt = asked_attempt;
+                  answer.attempt = requested_attempt;
                   context_.links.send(reply_to, "ledger.fenced",
                                       ledger::to_json(answer));
                 });
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -322,10 +322,10 @@
 
 void node::implementation::connect_crash_reports() {
   crashes.on_crash = [this](const routing::crash_report& it) {
-    crash_reports.crashed(it);
+    crash_reports.report_crash(it);
   };
   crashes.on_run_completed = [this](const std::string& fingerprint) {
-    crash_reports.ended_well(fingerprint);
+    crash_reports.report_success(fingerprint);
   };
   peer_dispatcher.add_notification(
       "crash.suspects",
@@ -457,7 +457,7 @@
   set("leads_configuration", control && control->leads() ? 1 : 0);
   set("longest_turn_ms", static_cast<double>(max_tick_delay.count()));
   set("configurations_sent",
-      control ? static_cast<double>(control->contents_sent()) : 0);
+      control ? static_cast<double>(control->updates_sent()) : 0);
   set("ledger_records", static_cast<double>(ledger.records()));
   set("peer_bytes_sent", static_cast<double>(links.traffic().bytes_sent));
   set("peer_bytes_received",
--- a/node/src/region_peers.cc
+++ b/node/src/region_peers.cc
@@ -51,8 +51,8 @@
   if (!out.empty()) return out;
   // No node there is known to be live: try those in the directory.
   for (const auto& [name, it] : context.known_nodes) {
-    const bool room = out.size() < membership::relays_per_region;
-    if (it.region == region && room) out.push_back(it.peer_address);
+    const bool has_room = out.size() < membership::relays_per_region;
+    if (it.region == region && has_room) out.push_back(it.peer_address);
   }
   return out;
 }
--- a/node/test/endpoint_list_updates-test.cc
+++ b/node/test/endpoint_list_updates-test.cc
@@ -99,30 +99,29 @@
   EXPECT_LE(second, start + interval);
   EXPECT_GT(next_update(writer, "g", second + interval - milliseconds(1)).since,
             0U);
-  const endpoint_list_update whole =
-      next_update(writer, "g", second + interval);
-  EXPECT_EQ(whole.since, 0U);
-  EXPECT_EQ(whole.endpoints.size(), 1U);
+  const endpoint_list_update full = next_update(writer, "g", second + interval);
+  EXPECT_EQ(full.since, 0U);
+  EXPECT_EQ(full.endpoints.size(), 1U);
 }
 
 // Guards against a reader that serializes the full lists for all gateways of a
 // region at once, which stalls it for seconds.
 TEST(endpoint_list_updates_test, full_lists_are_sent_at_different_times) {
   constexpr int gateways = 150;
-  constexpr int most_at_once = gateways / 5;  // twice the even share
+  constexpr int max_at_once = gateways / 5;  // twice the even share
   endpoint_list_publisher writer("r", 7);
   writer.update({endpoint("a")}, revision, start);
   for (int second = 0; second <= 30; ++second) {
     const monotonic_time now = start + std::chrono::seconds(second);
-    int whole = 0;
+    int full_lists = 0;
     std::set<std::uint64_t> messages;
     for (int n = 0; n < gateways; ++n) {
       const std::uint64_t since =
           writer.start_update("g" + std::to_string(n), now);
-      if (since == 0) ++whole;
+      if (since == 0) ++full_lists;
       messages.insert(since);
     }
-    if (second > 0) EXPECT_LE(whole, most_at_once) << second;
+    if (second > 0) EXPECT_LE(full_lists, max_at_once) << second;
     EXPECT_LE(messages.size(), 2U) << second;
   }
 }
