--- a/gateway/include/trestlepost/gateway/chosen_endpoint.h
+++ b/gateway/include/trestlepost/gateway/chosen_endpoint.h
@@ -20,7 +20,7 @@
   /// The number of prompt tokens the endpoint is expected to process.
   std::uint32_t prefill_tokens = 0;
   /// The probability that the endpoint accepts the request.
-  double acceptance_probability = 1;
+  double accept_probability = 1;
 };
 
 }  // namespace trestlepost::gateway
--- a/gateway/include/trestlepost/gateway/route_forwarder.h
+++ b/gateway/include/trestlepost/gateway/route_forwarder.h
@@ -24,8 +24,8 @@
 
   /// Returns the probability that the endpoints of `region` accept a request of
   /// `service`, based on recent answers to this gateway.
-  double acceptance_probability(const std::string& region,
-                                const std::string& service) const;
+  double accept_probability(const std::string& region,
+                            const std::string& service) const;
 
   /// Returns the prompt tokens of requests sent to `region` whose answer has
   /// not started yet.
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -174,7 +174,7 @@
   for (const endpoint_view& it : available) {
     if (it.load >= it.limit * max_load_factor) continue;
     evaluated_endpoint one = evaluator.evaluate(it);
-    one.candidate.accept_probability = one.chosen.acceptance_probability =
+    one.candidate.accept_probability = one.chosen.accept_probability =
         acceptance_.accept_probability(it.name, now);
     chosen.push_back(std::move(one.chosen));
     candidates.push_back(one.candidate);
@@ -196,8 +196,8 @@
   }
   std::vector<endpoint_view> out;
   for (const endpoint_view& it : available) {
-    const double chance = acceptance_.accept_probability(it.name, now);
-    if (chance >= min_acceptance_ratio * best) out.push_back(it);
+    const double probability = acceptance_.accept_probability(it.name, now);
+    if (probability >= min_acceptance_ratio * best) out.push_back(it);
   }
   return out;
 }
@@ -206,7 +206,7 @@
   chosen_endpoint out;
   out.name = view.name;
   out.address = view.address;
-  out.acceptance_probability =
+  out.accept_probability =
       acceptance_.accept_probability(view.name, context_.clock.now());
   return out;
 }
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -87,9 +87,9 @@
   out.route = found;
   out.service = routing::choose_service(*found, context_.random);
   out.arrived = arrived;
-  const milliseconds patience =
+  const milliseconds timeout =
       std::min(head.caller_timeout.value_or(found->timeout), found->timeout);
-  out.deadline = out.arrived + patience;
+  out.deadline = out.arrived + timeout;
   out.head = std::move(head);
   out.body = std::move(body);
   return out;
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -77,9 +77,9 @@
     const std::string& region, std::uint32_t sent_tokens,
     const routed_request& request, const routing::engine_table& engines) {
   const auto measured = context.round_trips.find(region);
-  const milliseconds distance = measured == context.round_trips.end()
-                                    ? default_round_trip
-                                    : measured->second;
+  const milliseconds round_trip = measured == context.round_trips.end()
+                                      ? default_round_trip
+                                      : measured->second;
   const routing::engine_work& work = request.work;
   const milliseconds prefill_time =
       engines.prefill_time(request.service, work.prompt_tokens);
@@ -88,7 +88,7 @@
   // The advertised load does not include the requests that this gateway has
   // sent there since.
   out.wait =
-      load.wait + distance +
+      load.wait + round_trip +
       engines.prefill_time(request.service, sent_tokens) / load.endpoints;
   out.first_token = out.wait + prefill_time;
   out.finish = out.first_token + events * load.event_interval;
@@ -117,7 +117,7 @@
   return valued_decision{{context.self.region, *chosen},
                          routing::discounted_value(
                              routing::net_value(chosen->expected, requirements),
-                             chosen->acceptance_probability)};
+                             chosen->accept_probability)};
 }
 
 /// Returns the other region with the highest value.
@@ -140,7 +140,7 @@
     const double value =
         routing::discounted_value(
             routing::net_value(expected, requirements),
-            remote.acceptance_probability(region, request.service)) -
+            remote.accept_probability(region, request.service)) -
         cost;
     if (best && value <= best->value) continue;
     best = valued_decision{{region, std::nullopt}, value};
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -155,9 +155,9 @@
 }
 
 bool route_service::charge_send(routed_request& request) {
-  const bool paid = request.sends.charge_next(retries_of(request.service));
-  if (!paid) context_.metrics.retry_denied(request.service);
-  return paid;
+  const bool charged = request.sends.charge_next(retries_of(request.service));
+  if (!charged) context_.metrics.retry_denied(request.service);
+  return charged;
 }
 
 void route_service::release_unused_sends(routed_request& request) {
