--- a/node/src/config_watchers.cc
+++ b/node/src/config_watchers.cc
@@ -121,7 +121,7 @@
 void config_watchers::send(const watcher& to, watcher_paths::path by,
                            config::revision_number from) {
   if (by == watcher_paths::path::direct) {
-    context_.links.send(to.paths.address(), packed_update(from));
+    context_.links.send(to.paths.address(), encoded_update(from));
     return;
   }
   json message = make_message(from);
@@ -138,16 +138,16 @@
   return out;
 }
 
-const transport::encoded_notification& config_watchers::packed_update(
+const transport::encoded_notification& config_watchers::encoded_update(
     config::revision_number from) {
   const config::revision_number newest = machine_.store().revision();
-  if (packed_revision_ != newest) packed_updates_.clear();
-  packed_revision_ = newest;
-  const auto known = packed_updates_.find(from);
-  if (known != packed_updates_.end()) return known->second;
+  if (encoded_revision_ != newest) encoded_updates_.clear();
+  encoded_revision_ = newest;
+  const auto known = encoded_updates_.find(from);
+  if (known != encoded_updates_.end()) return known->second;
   transport::encoded_notification made =
       transport::encode_notification(update_method, make_message(from));
-  return packed_updates_.emplace(from, std::move(made)).first->second;
+  return encoded_updates_.emplace(from, std::move(made)).first->second;
 }
 
 }  // namespace trestlepost::node
--- a/node/src/config_watchers.h
+++ b/node/src/config_watchers.h
@@ -26,7 +26,8 @@
   std::string via;
   /// Increases with each poll, also across restarts.
   std::uint64_t sequence = 0;
-  config::revision_number revision = 0;  // that the watcher has
+  /// The revision that the watcher has.
+  config::revision_number revision = 0;
   /// Whether the watcher could not apply an update that it was sent.
   bool missed = false;
 };
@@ -44,7 +45,7 @@
 
   /// Processes a poll and sends the watcher the changes that it lacks.
   void handle_poll(const watcher_poll& poll);
-  /// Sends the changes that they lack to all watchers. Call it after a change.
+  /// Sends each watcher the changes that it lacks. Call it after a change.
   void push_updates();
   /// Handles the loss of the connection to the peer at `address`: immediately
   /// sends the updates in flight on it again, instead of after a timeout.
@@ -62,7 +63,7 @@
   std::function<void(std::chrono::milliseconds)> on_confirmed =
       [](std::chrono::milliseconds) {};
 
-  /// Number of messages with changes or a whole configuration that were sent.
+  /// The number of full or incremental configurations sent to watchers.
   std::uint64_t updates_sent() const { return updates_sent_; }
 
  private:
@@ -84,20 +85,20 @@
   void send(const watcher& to, watcher_paths::path by,
             config::revision_number from);
   json make_message(config::revision_number from) const;
-  /// The compressed message with the changes after `from`, from the cache if
+  /// The encoded message with the changes after `from`, from the cache if
   /// possible.
-  const transport::encoded_notification& packed_update(
+  const transport::encoded_notification& encoded_update(
       config::revision_number from);
 
   node_context& context_;
   const config::config_state_machine& machine_;
   std::map<std::string, watcher> watchers_;  // by name
   config::confirmation_tracker confirmations_;
-  /// Messages that update to `packed_revision_`, by the revision that they
+  /// Messages that update to `encoded_revision_`, by the revision that they
   /// start from.
   std::map<config::revision_number, transport::encoded_notification>
-      packed_updates_;
-  config::revision_number packed_revision_ = 0;
+      encoded_updates_;
+  config::revision_number encoded_revision_ = 0;
   consensus::term_number term_ = 0;
   std::uint64_t updates_sent_ = 0;
 };
--- a/node/src/control_service.cc
+++ b/node/src/control_service.cc
@@ -22,7 +22,7 @@
 // A proposed change without an outcome after this time is no longer tracked.
 constexpr milliseconds pending_change_lifetime{30'000};
 constexpr milliseconds founding_timeout{5000};
-// Longer than an election takes.
+// How long a poll is saved; longer than an election takes.
 constexpr milliseconds saved_poll_lifetime{2000};
 // In election timeouts: a new leader founds ledgers only after this delay, when
 // it has received the polls of all nodes.
@@ -105,7 +105,7 @@
   if (machine_.store().plan()) return true;
   // Before the first plan the group may still be growing. It must have enough
   // voters before an acknowledged change can survive the tolerated losses.
-  return growth_.is_formed(
+  return formation_.is_formed(
       *host_, context_.clock.now(),
       consensus::voters_to_tolerate(context_.options.tolerated_losses));
 }
@@ -119,7 +119,7 @@
   const consensus::replica_id joiner = consensus::replica_id_from(params);
   const std::string address = text_of(params, "address");
   const monotonic_time now = context_.clock.now();
-  if (growth_.handle_join(*host_, now, joiner, address)) return;
+  if (formation_.handle_join(*host_, now, joiner, address)) return;
   const std::string leader = leader_node();
   if (leader.empty() || flag_of(params, "passed_on")) return;
   json forwarded = params;
@@ -132,7 +132,7 @@
 }
 
 std::string control_service::address_of(const std::string& node) const {
-  const std::string known = growth_.address_of(*host_, node);
+  const std::string known = formation_.address_of(*host_, node);
   return known.empty() ? context_.peer_address(node) : known;
 }
 
@@ -143,8 +143,8 @@
       [this](const json& params, const transport::rpc_context&) {
         const result<consensus::message> in = consensus::message_from(params);
         if (!in) return;
-        growth_.record_address(*host_, context_.clock.now(), in->from,
-                               text_of(params, "from_address"));
+        formation_.record_address(*host_, context_.clock.now(), in->from,
+                                  text_of(params, "from_address"));
         host_->receive(context_.clock.now(), *in);
         orders_.complete_reads();
       });
@@ -200,19 +200,21 @@
   }
   const std::string name = text_of(alive, "name");
   const std::uint64_t incarnation = number_of(alive, "incarnation");
-  const membership::node_info* met = node_directory_.find(name);
-  const bool in_book = met != nullptr && met->incarnation == incarnation;
+  const membership::node_info* recorded = node_directory_.find(name);
+  const bool in_directory =
+      recorded != nullptr && recorded->incarnation == incarnation;
   const bool known =
-      in_book && context_.nodes.observe_alive(
-                     name, incarnation, number_of(alive, "sequence"),
-                     number_of(params, "revision"), now);
+      in_directory && context_.nodes.observe_alive(
+                          name, incarnation, number_of(alive, "sequence"),
+                          number_of(params, "revision"), now);
   return known ? name : "";
 }
 
 void control_service::forward_poll(const json& params) {
   const std::string leader = leader_address();
-  const bool passed_on = !text_of(params, "via").empty();
-  if (passed_on || leader.empty() || leader == context_.self.peer_address) {
+  const bool already_forwarded = !text_of(params, "via").empty();
+  if (already_forwarded || leader.empty() ||
+      leader == context_.self.peer_address) {
     return;
   }
   json forwarded = params;
@@ -308,21 +310,21 @@
   if (leads()) watchers_.push_updates();
 }
 
-void control_service::propose(config::change asked,
+void control_service::propose(config::change requested,
                               const answer_function& answer) {
   const std::optional<config::change_result> known =
-      machine_.first_result(asked);
+      machine_.first_result(requested);
   if (known && leads()) {
     answer(config::to_json(*known));
     return;
   }
-  const std::string id = asked.id;
-  asked.at = context_.clock.wall_now();
+  const std::string id = requested.id;
+  requested.at = context_.clock.wall_now();
   pending_change& pending = pending_changes_[id];
   pending.since = context_.clock.now();
   pending.answers.push_back(answer);
   const result<consensus::log_index> proposed =
-      host_->propose(context_.clock.now(), config::encode_change(asked));
+      host_->propose(context_.clock.now(), config::encode_change(requested));
   if (proposed) return;
   pending_changes_.erase(id);
   answer(tl::make_unexpected(proposed.error()));
@@ -334,7 +336,7 @@
 }
 
 bool control_service::is_confirmed(config::revision_number revision) const {
-  const std::optional<monotonic_time> since = growth_.leading_since();
+  const std::optional<monotonic_time> since = formation_.leading_since();
   const monotonic_time now = context_.clock.now();
   // A new leader does not know all watchers until they have polled it.
   const bool known = since && *since + watcher_discovery_time <= now;
@@ -355,10 +357,10 @@
 
 void control_service::read_audit(const json& filter,
                                  const answer_function& answer) {
-  const result<void> asked = confirm_read([this, filter, answer] {
+  const result<void> started = confirm_read([this, filter, answer] {
     answer(search_audit(machine_.audit(), filter));
   });
-  if (!asked) answer(tl::make_unexpected(asked.error()));
+  if (!started) answer(tl::make_unexpected(started.error()));
 }
 
 void control_service::found(answer_function answer) {
@@ -371,7 +373,8 @@
   }
   if (all.front().name != context_.self.name) {
     answer(fail(error_kind::bad_input,
-                "only " + all.front().name + ", the first control node, founds",
+                "only the first control node, " + all.front().name +
+                    ", founds the group",
                 "run `trestlepost init` against " + all.front().address));
     return;
   }
@@ -476,13 +479,13 @@
 
 void control_service::found_ledgers() {
   const monotonic_time now = context_.clock.now();
-  growth_.update(*host_, now, leads(), context_.self.peer_address);
-  if (!growth_.leading_since()) {
+  formation_.update(*host_, now, leads(), context_.self.peer_address);
+  if (!formation_.leading_since()) {
     proposed_ledgers_.clear();
     return;
   }
   if (now <
-      *growth_.leading_since() +
+      *formation_.leading_since() +
           ledger_founding_delay * context_.options.timing.election_timeout) {
     return;
   }
@@ -491,12 +494,12 @@
     if (proposed_ledgers_.contains(region)) continue;
     config::ledger_founding ledger = new_ledger(region);
     if (ledger.members.empty()) continue;
-    config::change asked;
-    asked.id = "found-ledger-" + region;
-    asked.operator_name = "trestlepost";
-    asked.founding = std::move(ledger);
+    config::change requested;
+    requested.id = "found-ledger-" + region;
+    requested.operator_name = "trestlepost";
+    requested.founding = std::move(ledger);
     proposed_ledgers_.insert(region);
-    propose(std::move(asked), [](const result<json>&) {});
+    propose(std::move(requested), [](const result<json>&) {});
   }
 }
 
--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -36,7 +36,7 @@
   void tick();
 
   /// Proposes a change to the log; answers once its outcome is decided.
-  void propose(config::change asked, const answer_function& answer);
+  void propose(config::change requested, const answer_function& answer);
   /// Founds the configuration group. Fails when one exists already.
   void found(answer_function answer);
   /// Forms a new group of this node alone, from the data on its disk. Only for
@@ -52,8 +52,8 @@
   const config::config_state_machine& machine() const { return machine_; }
   /// Whether this node leads and holds the leader's lease.
   bool leads() const;
-  /// Whether this node takes itself for the leader; it need not hold the
-  /// lease.
+  /// Whether this node is the leader of its term as far as it knows, with or
+  /// without the lease.
   bool is_leader() const { return host_->core().is_leader(); }
   /// Whether changes may be acknowledged: there are enough voters to survive
   /// the loss of `tolerated_losses` control nodes.
@@ -75,7 +75,7 @@
   /// Operators' changes and reads, which any control node accepts.
   group_orders& orders() { return orders_; }
   /// The number of full or incremental configurations sent to watchers.
-  std::uint64_t contents_sent() const { return watchers_.updates_sent(); }
+  std::uint64_t updates_sent() const { return watchers_.updates_sent(); }
   /// `action` is called when all watchers have applied a revision, with the
   /// time since the revision was decided.
   void set_on_confirmed(std::function<void(std::chrono::milliseconds)> action) {
@@ -123,8 +123,8 @@
                    const std::string& region) const;
   void on_decided(const config::audit_record& record);
   void finish_founding_if_ready();
-  /// The founding of a ledger in `region`; without members when the region
-  /// has too few live nodes.
+  /// Selects the id and the members of a new ledger in `region`; no members
+  /// when the region has too few live nodes.
   config::ledger_founding new_ledger(const std::string& region) const;
   void found_ledgers();
   void request_join();
@@ -141,11 +141,11 @@
   group_maintenance maintenance_;
   config::config_state_machine machine_;
   std::unique_ptr<consensus::group_host> host_;
-  consensus::group_formation growth_{context_.observed_addresses};
+  consensus::group_formation formation_{context_.observed_addresses};
   config_watchers watchers_{context_, machine_};
   hold_proposer hold_proposer_{
-      context_, machine_.store(), [this](config::change asked) {
-        propose(std::move(asked), [](const result<json>&) {});
+      context_, machine_.store(), [this](config::change requested) {
+        propose(std::move(requested), [](const result<json>&) {});
       }};
   group_orders orders_{context_, *this};
   node_directory node_directory_;
--- a/node/src/crash_reporter.cc
+++ b/node/src/crash_reporter.cc
@@ -21,7 +21,7 @@
   enqueue(report);
 }
 
-void crash_reporter::ended_well(const std::string& fingerprint) {
+void crash_reporter::run_completed(const std::string& fingerprint) {
   routing::crash_report report;
   report.fingerprint = fingerprint;
   report.at = context_.clock.now();
@@ -53,10 +53,10 @@
   });
   json params;
   params["reports"] = std::move(reports);
-  const transport::encoded_notification packed =
+  const transport::encoded_notification encoded =
       transport::encode_notification("crash.report", params);
   for (const std::string& it : context_.control_addresses()) {
-    context_.links.send(it, packed);
+    context_.links.send(it, encoded);
   }
 }
 
--- a/node/src/crash_reporter.h
+++ b/node/src/crash_reporter.h
@@ -17,8 +17,10 @@
  public:
   explicit crash_reporter(node_context& context) : context_(context) {}
 
+  /// Reports that an endpoint crashed while it ran a request.
   void crashed(const routing::crash_report& report);
-  void ended_well(const std::string& fingerprint);
+  /// Reports that a request with this fingerprint completed successfully.
+  void run_completed(const std::string& fingerprint);
   void tick();
 
  private:
--- a/node/src/digest_service.cc
+++ b/node/src/digest_service.cc
@@ -67,7 +67,7 @@
   const monotonic_time now = context_.clock.now();
   const membership::digest_outcome outcome =
       reader_.apply(*in, context_.self, context_.nodes, now);
-  choice_.digest_received(in->relay);
+  relay_selector_.digest_received(in->relay);
   if (outcome == membership::digest_outcome::stale) return false;
   if (outcome == membership::digest_outcome::gap) {
     log_event(log_level::debug, "digest-missed", {{"relay", in->relay}});
@@ -102,8 +102,8 @@
     if (known) reachable.push_back({name, leaving, control});
   }
   const bool enough = reachable.size() >= membership::relays_per_region;
-  return choice_.choose(context_.self.region, enough ? reachable : all,
-                        relay_timeout_heartbeats * interval(), now);
+  return relay_selector_.choose(context_.self.region, enough ? reachable : all,
+                                relay_timeout_heartbeats * interval(), now);
 }
 
 void digest_service::send_to_relays(const json& heartbeat) {
@@ -116,7 +116,7 @@
   for (const std::string& name : chosen) {
     json params = heartbeat;
     params["ask"] = membership::to_json(reader_.request_for(name));
-    choice_.heartbeat_sent(name, now);
+    relay_selector_.heartbeat_sent(name, now);
     context_.links.send(peer_addresses.at(name), "node.heartbeat", params);
   }
 }
@@ -221,14 +221,14 @@
     }
     return;
   }
-  // Nodes that request digests get it with their next one.
+  // This node is a relay: its requesters get the data in their next digest.
   if (!requesters_.empty()) return;
   for (const std::string& it : relays()) {
     context_.links.send(peer_addresses.at(it), method, forwarded);
   }
 }
 
-membership::endpoint_sums digest_service::other_gateways() const {
+membership::endpoint_sums digest_service::other_gateway_sums() const {
   const monotonic_time now = context_.clock.now();
   membership::endpoint_sums direct_sums = membership::excluding_node(
       membership::sum_of(context_.nodes, context_.self.region, now),
--- a/node/src/digest_service.h
+++ b/node/src/digest_service.h
@@ -42,7 +42,7 @@
   void forward_in_region(const char* method, const json& params);
 
   /// The requests in flight from the region's other gateways.
-  membership::endpoint_sums other_gateways() const;
+  membership::endpoint_sums other_gateway_sums() const;
   /// Called after a digest with new data was received.
   std::function<void()> on_digest;
 
@@ -73,9 +73,9 @@
   node_context& context_;
   membership::digest_writer writer_;
   membership::digest_reader reader_;
-  membership::relay_selector choice_;
+  membership::relay_selector relay_selector_;
   std::map<std::string, requester> requesters_;  // by name
-  std::uint64_t digest_round_ = 0;               // of digests to requesters
+  std::uint64_t digest_round_ = 0;      // number of rounds of digests sent
   std::uint64_t relay_heartbeats_ = 0;  // number of heartbeats sent to relays
   /// The version of this region's data last sent to other regions.
   std::uint64_t last_sent_version_ = 0;
--- a/node/src/endpoint_list_service.cc
+++ b/node/src/endpoint_list_service.cc
@@ -18,7 +18,7 @@
 using surface::listed_endpoint;
 using transport::awaitable;
 
-// For one page of the list.
+// Time limit for reading one page of the list.
 constexpr milliseconds read_timeout{1000};
 constexpr std::size_t max_page_bytes = 4UL * 1024 * 1024;
 constexpr unsigned ok_status = 200;
@@ -27,12 +27,14 @@
 // How often the reader is determined, which iterates over all gateways of the
 // region.
 constexpr milliseconds reader_check_interval{100};
-// The leader's first updates list only the nodes that have polled it so far.
+// How long a gateway waits for more entries of the leader's node directory: the
+// first updates list only the nodes that have polled the leader so far.
 constexpr milliseconds directory_settle_time{500};
 // How often the full list is read: to compare its number of pages with reads by
-// zone, and for the endpoints of other regions, which are hints only.
+// zone, and for the endpoints of other regions, which are needed only as
+// possible sources of cached prompt prefixes.
 constexpr milliseconds full_read_interval{10'000};
-// A list with more pages is taken for one that never ends.
+// A list with more pages is treated as endless: the read is aborted.
 constexpr int max_pages = 1000;
 
 }  // namespace
@@ -164,7 +166,7 @@
 
 bool endpoint_list_service::publishes_list() const {
   // More nodes may be known now than when the read began: at startup many
-  // gateways take themselves for the first reader.
+  // gateways consider themselves the first reader.
   return took_over_ || ranking().own_rank == 0;
 }
 
@@ -259,8 +261,8 @@
 }
 
 awaitable<void> endpoint_list_service::read_all() {
-  // The platform's list lags. It reflects the revisions that have been in force
-  // for longer than that.
+  // The platform's list lags: it reflects only the revisions that have been in
+  // force for at least `platform_list_lag`.
   const config::revision_number covered_revision =
       configured_.newest_settled(context_.clock.now());
   // The first configuration after a start was usually decided long before.
@@ -318,7 +320,7 @@
   return all;
 }
 
-transport::encoded_notification endpoint_list_service::pack_update(
+transport::encoded_notification endpoint_list_service::encode_update(
     std::uint64_t since) const {
   return transport::encode_notification(
       "endpoints.listed",
@@ -329,7 +331,7 @@
                                         const std::string& address) {
   const std::uint64_t since =
       publisher_.start_update(gateway, context_.clock.now());
-  context_.links.send(address, pack_update(since));
+  context_.links.send(address, encode_update(since));
 }
 
 void endpoint_list_service::send_updates() {
@@ -341,7 +343,7 @@
     const std::uint64_t since =
         publisher_.start_update(it->last.node.name, now);
     const auto [known, is_new] = updates.try_emplace(since);
-    if (is_new) known->second = pack_update(since);
+    if (is_new) known->second = encode_update(since);
     context_.links.send(it->last.node.peer_address, known->second);
   }
 }
--- a/node/src/endpoint_list_service.h
+++ b/node/src/endpoint_list_service.h
@@ -68,7 +68,7 @@
   /// Requests the full list from `gateway`.
   void request_list(const std::string& gateway);
   void send_update(const std::string& gateway, const std::string& address);
-  transport::encoded_notification pack_update(std::uint64_t since) const;
+  transport::encoded_notification encode_update(std::uint64_t since) const;
   void send_updates();
   /// Records that a list was received from `reader`, and logs a change of
   /// reader.
@@ -80,7 +80,7 @@
   endpoint_list_copy copy_;
   monotonic_time next_read_;
   monotonic_time next_request_;
-  monotonic_time next_check_;  // of who should read
+  monotonic_time next_check_;  // of whether this node should read
   bool took_over_ = false;     // reads because the reader sends no updates
   monotonic_time started_at_;
   monotonic_time list_received_at_;  // or when the service started
@@ -88,7 +88,8 @@
   bool has_list_ = false;            // has a list, read or received
   std::string last_reader_;          // the node that read the current list
   settled_revision configured_;
-  bool read_forced_ = false;  // even if this node is not the reader
+  /// Read the list next, even if this node is not the reader.
+  bool read_forced_ = false;
   /// When the leader first sent entries of its node directory.
   std::optional<monotonic_time> directory_received_at_;
   endpoint_list_size size_;
@@ -97,7 +98,7 @@
   std::vector<surface::listed_endpoint> other_region_endpoints_;
   unreadable_entries unreadable_;
   bool reading_ = false;
-  bool last_read_failed_ = false;  // the last read failed
+  bool last_read_failed_ = false;
 };
 
 }  // namespace trestlepost::node
--- a/node/src/endpoint_list_updates.cc
+++ b/node/src/endpoint_list_updates.cc
@@ -35,7 +35,7 @@
 constexpr milliseconds long_takeover_step{300};
 constexpr milliseconds short_takeover_step{20};
 
-/// What is left of `span` when `by` has passed.
+/// The part of `span` that is left after `by`.
 milliseconds remaining(milliseconds span, milliseconds by) {
   return std::max(milliseconds(0), span - by);
 }
@@ -96,7 +96,7 @@
 }
 
 result<endpoint_list_update> refused(const std::string& why) {
-  return fail(error_kind::bad_input, "a list of endpoints " + why,
+  return fail(error_kind::bad_input, "an endpoint list update " + why,
               "check that all nodes run compatible versions");
 }
 
@@ -195,9 +195,10 @@
     const std::string name = it.identity.name();
     if (!named.insert(name).second) continue;
     const auto known = entries_.find(name);
-    const bool kept = known != entries_.end() && !known->second.removed &&
-                      is_equivalent(known->second.timestamped.as_of(now), it);
-    if (!kept) entries_[name] = {{it, now}, ++version_, false};
+    const bool unchanged =
+        known != entries_.end() && !known->second.removed &&
+        is_equivalent(known->second.timestamped.as_of(now), it);
+    if (!unchanged) entries_[name] = {{it, now}, ++version_, false};
   }
   for (auto& [id, it] : entries_) {
     if (it.removed || named.contains(id)) continue;
--- a/node/src/entry_handlers.cc
+++ b/node/src/entry_handlers.cc
@@ -18,12 +18,12 @@
 /// The regions whose availability zones are all evacuated.
 std::set<std::string> evacuated_regions(const node_context& context) {
   std::set<std::string> out;
-  std::set<std::string> open;
+  std::set<std::string> active;
   const auto& evacuated = context.store.evacuated_zones();
   for (const auto& [zone, region] : context.options.zone_regions) {
-    (evacuated.contains(zone) ? out : open).insert(region);
+    (evacuated.contains(zone) ? out : active).insert(region);
   }
-  for (const std::string& it : open) out.erase(it);
+  for (const std::string& it : active) out.erase(it);
   return out;
 }
 
@@ -82,10 +82,10 @@
 
 awaitable<void> readiness_handler::handle(transport::http_exchange& exchange) {
   const result<std::string> body = co_await exchange.read_body();
-  const bool asked =
+  const bool is_query =
       surface_->is_readiness_query(exchange.method(), exchange.target());
   http_response out;
-  if (asked && body) {
+  if (is_query && body) {
     const surface::node_report report{
         context_.state.serves_callers() && context_.store.plan() != nullptr,
         context_.state.name(), context_.store.revision()};
--- a/node/src/heartbeat_service.cc
+++ b/node/src/heartbeat_service.cc
@@ -68,7 +68,7 @@
 
 void heartbeat_service::report_in_flight() {
   in_flight_changed_ = false;
-  const membership::endpoint_sums others = digests_.other_gateways();
+  const membership::endpoint_sums others = digests_.other_gateway_sums();
   context_.endpoints.set_others_in_flight(others.in_flight);
   if (on_region_loads) on_region_loads(others);
 }
@@ -112,7 +112,8 @@
     return;
   }
   std::set<std::string> addresses;
-  // Control nodes may be in other regions, so seeds are addressed too.
+  // Without control nodes in the settings the seeds are the control nodes,
+  // which may be in other regions; those of this region are added below.
   if (!context_.options.control_nodes.empty()) {
     addresses.insert(context_.options.seeds.begin(),
                      context_.options.seeds.end());
--- a/node/src/hold_proposer.cc
+++ b/node/src/hold_proposer.cc
@@ -53,7 +53,7 @@
   json params;
   json& all = params["fingerprints"] = json(Json::arrayValue);
   for (const std::string& it : fingerprints) all.append(it);
-  const transport::encoded_notification packed =
+  const transport::encoded_notification encoded =
       transport::encode_notification(method, params);
   const monotonic_time now = context_.clock.now();
   for (const membership::node_record* it : context_.nodes.all()) {
@@ -61,7 +61,7 @@
     const bool reachable =
         context_.nodes.state_of(*it, now) != membership::peer_state::dead;
     if (gateway && reachable) {
-      context_.links.send(it->last.node.peer_address, packed);
+      context_.links.send(it->last.node.peer_address, encoded);
     }
   }
 }
@@ -92,12 +92,12 @@
   for (auto& [fingerprint, it] : proposed_holds_) {
     if (now < it.next_proposal) continue;
     it.next_proposal = now + proposal_interval;
-    config::change asked;
-    asked.id = make_request_id(context_.random);
-    asked.operator_name = operator_name;
-    asked.hold = config::request_hold{fingerprint, true, it.verdict.service,
-                                      evidence_of(it.verdict)};
-    propose_(std::move(asked));
+    config::change requested;
+    requested.id = make_request_id(context_.random);
+    requested.operator_name = operator_name;
+    requested.hold = config::request_hold{
+        fingerprint, true, it.proposal.service, evidence_of(it.proposal)};
+    propose_(std::move(requested));
   }
 }
 
--- a/node/src/hold_proposer.h
+++ b/node/src/hold_proposer.h
@@ -34,7 +34,7 @@
 
  private:
   struct proposed_hold {
-    routing::hold_proposal verdict;
+    routing::hold_proposal proposal;
     monotonic_time next_proposal{};
   };
 
--- a/node/src/ledger_service.cc
+++ b/node/src/ledger_service.cc
@@ -155,11 +155,11 @@
 }
 
 awaitable<result<claim_decision>> ledger_service::claim(
-    ledger::claim_command asked, monotonic_time deadline) {
-  const std::string attempt = asked.attempt;
+    ledger::claim_command command, monotonic_time deadline) {
+  const std::string attempt = command.attempt;
   begin_function begin =
-      [this, &asked](ledger::claim_table::decision_handler decided) {
-        claims_.claim(asked, context_.clock.now(), std::move(decided));
+      [this, &command](ledger::claim_table::decision_handler decided) {
+        claims_.claim(command, context_.clock.now(), std::move(decided));
       };
   std::function<void()> on_timeout = [this, &attempt] {
     claims_.abandon(attempt);
@@ -169,12 +169,13 @@
 }
 
 awaitable<result<claim_decision>> ledger_service::fence(
-    std::string region, ledger::fence_command asked, monotonic_time deadline) {
-  const std::string attempt = asked.attempt;
+    std::string region, ledger::fence_command command,
+    monotonic_time deadline) {
+  const std::string attempt = command.attempt;
   begin_function begin = [&](ledger::claim_table::decision_handler decided) {
     remote_fence it;
     it.region = region;
-    it.params["command"] = ledger::to_json(asked);
+    it.params["command"] = ledger::to_json(command);
     it.params["reply_to"] = context_.self.peer_address;
     it.decided = std::move(decided);
     send_fence(it);
@@ -199,16 +200,16 @@
 
 void ledger_service::handle_fence(const json& params) {
   if (!host_) return;
-  ledger::fence_command asked =
+  ledger::fence_command command =
       ledger::fence_from(member_of(params, "command"));
   const std::string reply_to = text_of(params, "reply_to");
-  const std::string asked_attempt = asked.attempt;
+  const std::string requested_attempt = command.attempt;
   // Each resend gets its own attempt id here, so that each is answered.
-  asked.attempt = make_attempt_id();
-  claims_.fence(asked, context_.clock.now(),
-                [this, reply_to, asked_attempt](const claim_decision& it) {
+  command.attempt = make_attempt_id();
+  claims_.fence(command, context_.clock.now(),
+                [this, reply_to, requested_attempt](const claim_decision& it) {
                   claim_decision answer = it;
-                  answer.attempt = asked_attempt;
+                  answer.attempt = requested_attempt;
                   context_.links.send(reply_to, "ledger.fenced",
                                       ledger::to_json(answer));
                 });
--- a/node/src/ledger_service.h
+++ b/node/src/ledger_service.h
@@ -31,9 +31,9 @@
   void start_replica(const config::ledger_founding& founding);
 
   transport::awaitable<result<ledger::claim_decision>> claim(
-      ledger::claim_command asked, monotonic_time deadline) override;
+      ledger::claim_command command, monotonic_time deadline) override;
   transport::awaitable<result<ledger::claim_decision>> fence(
-      std::string region, ledger::fence_command asked,
+      std::string region, ledger::fence_command command,
       monotonic_time deadline) override;
   void finish(const ledger::finish_command& command) override;
   std::string make_attempt_id() override;
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -47,13 +47,13 @@
 constexpr milliseconds idle_connection_lifetime{60'000};
 // Covers the longest round trip to an endpoint, about 110 ms between regions.
 constexpr milliseconds endpoint_connect_timeout{400};
-// In seconds.
+// Upper bounds in seconds.
 const prometheus::Histogram::BucketBoundaries confirm_buckets{
     0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
 
 }  // namespace
 
-/// What the other members are constructed from and what can fail to load: the
+/// Resources that the services of a node use and whose loading may fail: the
 /// clock, the charts, the lock of the data folder and the incarnation.
 struct node::node_resources {
   result<void> prepare(const settings& options);
@@ -325,7 +325,7 @@
     crash_reports.crashed(it);
   };
   crashes.on_run_completed = [this](const std::string& fingerprint) {
-    crash_reports.ended_well(fingerprint);
+    crash_reports.run_completed(fingerprint);
   };
   peer_dispatcher.add_notification(
       "crash.suspects",
@@ -457,7 +457,7 @@
   set("leads_configuration", control && control->leads() ? 1 : 0);
   set("longest_turn_ms", static_cast<double>(max_tick_delay.count()));
   set("configurations_sent",
-      control ? static_cast<double>(control->contents_sent()) : 0);
+      control ? static_cast<double>(control->updates_sent()) : 0);
   set("ledger_records", static_cast<double>(ledger.records()));
   set("peer_bytes_sent", static_cast<double>(links.traffic().bytes_sent));
   set("peer_bytes_received",
--- a/node/src/node_context.h
+++ b/node/src/node_context.h
@@ -42,8 +42,8 @@
 
   /// The peer address of a node, or empty.
   std::string peer_address(const std::string& node) const {
-    const auto heard = observed_addresses.find(node);
-    if (heard != observed_addresses.end()) return heard->second;
+    const auto observed = observed_addresses.find(node);
+    if (observed != observed_addresses.end()) return observed->second;
     for (const control_node& it : options.control_nodes) {
       if (it.name == node) return it.address;
     }
--- a/node/src/operator_service.cc
+++ b/node/src/operator_service.cc
@@ -203,13 +203,13 @@
 
 void operator_service::apply(const json& params, const rpc_context& caller,
                              const answer_function& answer) {
-  result<config::change> asked =
+  result<config::change> requested =
       change_from_params(params, caller, control_->machine().store());
-  if (!asked) {
-    answer(tl::make_unexpected(asked.error()));
+  if (!requested) {
+    answer(tl::make_unexpected(requested.error()));
     return;
   }
-  control_->propose(std::move(*asked), answer);
+  control_->propose(std::move(*requested), answer);
 }
 
 void operator_service::release(const json& params, const rpc_context& caller,
@@ -222,12 +222,12 @@
                 "list the held requests with `trestlepost held`"));
     return;
   }
-  config::change asked;
-  asked.id = text_of(params, "change_id");
-  if (asked.id.empty()) asked.id = make_request_id(context_.random);
-  asked.operator_name = caller.operator_name;
-  asked.hold = config::request_hold{fingerprint, false, "", ""};
-  control_->propose(std::move(asked), answer);
+  config::change requested;
+  requested.id = text_of(params, "change_id");
+  if (requested.id.empty()) requested.id = make_request_id(context_.random);
+  requested.operator_name = caller.operator_name;
+  requested.hold = config::request_hold{fingerprint, false, "", ""};
+  control_->propose(std::move(requested), answer);
 }
 
 json operator_service::held_requests() const {
@@ -462,11 +462,11 @@
     return out;
   }
   out["placement"] = to_json(*placed);
-  const routing::region_request asked{context_.self.region,
-                                      context_.state.crosses_regions(),
-                                      flag_of(params, "run_once"), 0};
+  const routing::region_request requested{context_.self.region,
+                                          context_.state.crosses_regions(),
+                                          flag_of(params, "run_once"), 0};
   const std::vector<routing::region_candidate> ranked =
-      routing::rank_regions(*placed, local_.views(service->name), asked,
+      routing::rank_regions(*placed, local_.views(service->name), requested,
                             context_.options.region_choice);
   json& regions = out["regions"] = json(Json::arrayValue);
   for (const routing::region_candidate& it : ranked) {
--- a/node/src/order_handler.h
+++ b/node/src/order_handler.h
@@ -32,7 +32,7 @@
   /// The answer to send; nullopt if it has been streamed.
   transport::awaitable<std::optional<transport::http_response>> answer(
       transport::http_exchange& exchange, const std::string& body);
-  /// Waits while this node is leader but its lease has lapsed.
+  /// Waits until `deadline` while this node is leader but its lease has lapsed.
   transport::awaitable<void> wait_for_lease(monotonic_time deadline);
   /// Proposes a change until it is decided, retrying transient failures.
   transport::awaitable<transport::http_response> change(
--- a/node/src/peer_calls.cc
+++ b/node/src/peer_calls.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr char answer_method[] = "call.answer";
-// Longer than any order waits for its result.
+// Time limit for an answer; longer than any order waits for its result.
 constexpr std::chrono::milliseconds call_timeout{2000};
 
 }  // namespace
@@ -62,7 +62,7 @@
 
 void peer_calls::tick() {
   const monotonic_time now = context_.clock.now();
-  // Tokens ascend in the order of the calls.
+  // Tokens ascend in the order of the calls, so the oldest call comes first.
   while (!pending_.empty() &&
          pending_.begin()->second.since + call_timeout < now) {
     const answer_function answer = std::move(pending_.begin()->second.answer);
--- a/node/src/poll_schedule.cc
+++ b/node/src/poll_schedule.cc
@@ -5,8 +5,9 @@
 namespace trestlepost::node {
 namespace {
 
-// After a crash of all nodes, gateways with this interval were confirmed 0.2 to
-// 0.35 s after the election of a leader, including a round trip of 0.16 s.
+// Poll interval of unconfirmed nodes. After a crash of all nodes, gateways with
+// this interval were confirmed 0.2 to 0.35 s after the election of a leader,
+// including a round trip of 0.16 s.
 constexpr std::chrono::milliseconds urgent_interval{150};
 
 }  // namespace
--- a/node/src/poll_schedule.h
+++ b/node/src/poll_schedule.h
@@ -26,11 +26,12 @@
     const poll_state& state, std::chrono::milliseconds default_interval);
 
 /// The addresses to poll now. A node without a configuration polls all control
-/// nodes, unless a leader has reported that none exists yet: polled in turn,
-/// each one that is down would cost a connect timeout of 350 ms. Any other node
-/// polls the leader, or the next control node in turn while no leader is known:
-/// when 300 nodes all polled five control nodes, the overloaded leader kept
-/// losing its lease and the first plan was never acknowledged.
+/// nodes: if it polled them in turn, each one that is down would cost a connect
+/// timeout of 350 ms. A node that has a configuration, or to which a leader has
+/// reported that none exists yet, polls the leader, or the next control node in
+/// turn while no leader is known: when 300 nodes all polled five control nodes,
+/// the overloaded leader kept losing its lease and the first plan was never
+/// acknowledged.
 std::vector<std::string> poll_targets(const poll_state& state,
                                       const std::string& leader_address,
                                       const std::vector<std::string>& all,
--- a/node/src/probe_service.h
+++ b/node/src/probe_service.h
@@ -1,5 +1,5 @@
-// Polls endpoints of the own surface for their load, and the platform's
-// endpoint list for endpoints that are leaving.
+// Polls endpoints for their load on nodes with the setting `surface: own`, and
+// the platform's endpoint list for endpoints that are leaving.
 #pragma once
 
 #include <map>
--- a/node/src/routed_gateway.h
+++ b/node/src/routed_gateway.h
@@ -30,9 +30,11 @@
   /// Applies the plan of a changed configuration, with its request limits for
   /// `entry_server`.
   void apply_plan(transport::http_server& entry_server);
-  /// Updates the load that the region's other gateways have put on endpoints.
+  /// Records the pending tokens and the cached prefixes of endpoints that the
+  /// region's other gateways have reported.
   void apply_region_sums(const membership::endpoint_sums& others);
-  /// Adds the loads of services and endpoints to a heartbeat.
+  /// Adds service loads, and the pending tokens and cached prefixes of
+  /// endpoints, to a heartbeat.
   void add_loads(membership::heartbeat& beat);
 
   /// The number of unusable entries in the platform's list.
--- a/node/src/settings.h
+++ b/node/src/settings.h
@@ -107,7 +107,8 @@
 result<settings> load_settings(const std::string& file);
 
 /// Checks that the data folder is writable, and replaces the path in
-/// `peer_secret` by the content of the file.
+/// `peer_secret` by the secret in that file. Fails when the secret is too
+/// short.
 result<void> check_environment(settings& value, const std::string& file);
 
 }  // namespace trestlepost::node
--- a/node/src/watch_client.cc
+++ b/node/src/watch_client.cc
@@ -11,7 +11,8 @@
 
 // Maximum number of unanswered polls that are kept; older ones are dropped.
 constexpr std::size_t max_pending_polls = 64;
-// Number of unanswered polls after which the leader is looked up again.
+// In poll intervals: a leader that confirms nothing for this long is looked up
+// again.
 constexpr int max_unanswered_polls = 3;
 
 }  // namespace
@@ -33,7 +34,7 @@
       });
 }
 
-poll_state watch_client::situation() const {
+poll_state watch_client::state_for_poll() const {
   return {context_.store.revision() > 0,
           context_.state.confirmed_at(context_.clock.now())};
 }
@@ -41,12 +42,12 @@
 void watch_client::tick() {
   const monotonic_time now = context_.clock.now();
   if (now < next_poll_) return;
-  next_poll_ = now + time_to_next_poll(situation(),
+  next_poll_ = now + time_to_next_poll(state_for_poll(),
                                        context_.options.timing.poll_interval);
   const std::string& leader = finder_.leader(now);
   const std::string known = leader.empty() ? "" : context_.peer_address(leader);
   for (const std::string& it : poll_targets(
-           situation(), known, context_.control_addresses(), finder_)) {
+           state_for_poll(), known, context_.control_addresses(), finder_)) {
     poll(it);
   }
 }
@@ -85,7 +86,8 @@
 void watch_client::handle_update(const json& params) {
   const std::string recipient = text_of(params, "for");
   if (!recipient.empty() && recipient != context_.self.peer_address) {
-    // The node polled through this one because it can't reach the leader.
+    // This node forwarded the recipient's poll, since the recipient may not be
+    // able to reach the leader.
     context_.links.send(recipient, "config.update", params);
     return;
   }
--- a/node/src/watch_client.h
+++ b/node/src/watch_client.h
@@ -40,7 +40,8 @@
     monotonic_time sent_at;
   };
 
-  poll_state situation() const;
+  /// The state that decides when and whom this node polls.
+  poll_state state_for_poll() const;
   void poll(const std::string& address);
   /// Adds this node's identity to a poll: the full heartbeat if the receiver
   /// doesn't have this node's current state, else only the fields that show
@@ -48,7 +49,8 @@
   void add_identity(json& params, const std::string& address);
   void handle_update(const json& params);
   void apply(const json& update);
-  /// Polls at once and reports that an update could not be applied.
+  /// Logs that an update could not be applied, and reports it to the leader in
+  /// an immediate poll.
   void request_missed_update(const error& cause);
   /// Takes the node addresses and ledger groups from a confirmed update.
   void read_directory(const json& update);
--- a/node/test/endpoint_list_updates-test.cc
+++ b/node/test/endpoint_list_updates-test.cc
@@ -30,23 +30,25 @@
   return out.value_or(endpoint_list_update());
 }
 
-endpoint_list_update next_update(endpoint_list_publisher& writer,
+endpoint_list_update next_update(endpoint_list_publisher& publisher,
                                  const std::string& gateway,
                                  monotonic_time now) {
-  return writer.update_since(writer.start_update(gateway, now), now);
+  return publisher.update_since(publisher.start_update(gateway, now), now);
 }
 
 TEST(endpoint_list_updates_test, updates_contain_only_changes) {
-  endpoint_list_publisher writer("r", 7);
+  endpoint_list_publisher publisher("r", 7);
   endpoint_list_copy copy;
-  writer.update({endpoint("a"), endpoint("b"), endpoint("c")}, revision, start);
-  EXPECT_TRUE(copy.apply(round_trip(next_update(writer, "g", start)), start));
+  publisher.update({endpoint("a"), endpoint("b"), endpoint("c")}, revision,
+                   start);
+  EXPECT_TRUE(
+      copy.apply(round_trip(next_update(publisher, "g", start)), start));
   EXPECT_EQ(copy.all(start).size(), 3U);
   const monotonic_time later = start + milliseconds(1000);
   const std::vector<listed_endpoint> now{endpoint("a"), endpoint("b", true)};
-  writer.update(now, revision, later);
+  publisher.update(now, revision, later);
   const endpoint_list_update update =
-      round_trip(next_update(writer, "g", later));
+      round_trip(next_update(publisher, "g", later));
   EXPECT_EQ(update.endpoints.size(), 1U);
   EXPECT_EQ(update.removed, (std::vector<std::string>{"c"}));
   EXPECT_TRUE(copy.apply(update, later));
@@ -54,87 +56,90 @@
 }
 
 TEST(endpoint_list_updates_test, elapsed_durations_are_not_changes) {
-  endpoint_list_publisher writer("r", 7);
+  endpoint_list_publisher publisher("r", 7);
   endpoint_list_copy copy;
   listed_endpoint cold = endpoint("a");
   cold.cold_left = milliseconds(3000);
   cold.ends_in = milliseconds(5000);
-  writer.update({cold}, revision, start);
-  copy.apply(next_update(writer, "g", start), start);
+  publisher.update({cold}, revision, start);
+  copy.apply(next_update(publisher, "g", start), start);
   const monotonic_time later = start + milliseconds(1000);
   cold.cold_left = milliseconds(2100);
   cold.ends_in = milliseconds(3900);
-  writer.update({cold}, revision, later);
-  EXPECT_TRUE(next_update(writer, "g", later).endpoints.empty());
+  publisher.update({cold}, revision, later);
+  EXPECT_TRUE(next_update(publisher, "g", later).endpoints.empty());
   EXPECT_EQ(copy.all(later)[0].cold_left, milliseconds(2000));
   EXPECT_EQ(copy.all(later)[0].ends_in, milliseconds(4000));
   cold.ends_in = milliseconds(900);
-  writer.update({cold}, revision, later);
-  EXPECT_EQ(next_update(writer, "g", later).endpoints.size(), 1U);
+  publisher.update({cold}, revision, later);
+  EXPECT_EQ(next_update(publisher, "g", later).endpoints.size(), 1U);
 }
 
 TEST(endpoint_list_updates_test, a_lost_update_is_detected_by_the_next) {
-  endpoint_list_publisher writer("r", 7);
+  endpoint_list_publisher publisher("r", 7);
   endpoint_list_copy copy;
-  writer.update({endpoint("a")}, revision, start);
-  copy.apply(next_update(writer, "g", start), start);
-  writer.update({endpoint("a", true)}, revision, start + milliseconds(1000));
-  next_update(writer, "g", start + milliseconds(1000));  // lost
+  publisher.update({endpoint("a")}, revision, start);
+  copy.apply(next_update(publisher, "g", start), start);
+  publisher.update({endpoint("a", true)}, revision, start + milliseconds(1000));
+  next_update(publisher, "g", start + milliseconds(1000));  // lost
   const monotonic_time later = start + milliseconds(2000);
-  writer.update({endpoint("a", true)}, revision, later);
-  EXPECT_FALSE(copy.apply(next_update(writer, "g", later), later));
-  writer.reset("g");
-  EXPECT_TRUE(copy.apply(next_update(writer, "g", later), later));
+  publisher.update({endpoint("a", true)}, revision, later);
+  EXPECT_FALSE(copy.apply(next_update(publisher, "g", later), later));
+  publisher.reset("g");
+  EXPECT_TRUE(copy.apply(next_update(publisher, "g", later), later));
   EXPECT_TRUE(copy.all(later)[0].leaving);
 }
 
 TEST(endpoint_list_updates_test, the_full_list_is_sent_every_ten_seconds) {
   constexpr milliseconds interval{10'000};
-  endpoint_list_publisher writer("r", 7);
-  writer.update({endpoint("a")}, revision, start);
-  EXPECT_EQ(next_update(writer, "g", start).since, 0U);
+  endpoint_list_publisher publisher("r", 7);
+  publisher.update({endpoint("a")}, revision, start);
+  EXPECT_EQ(next_update(publisher, "g", start).since, 0U);
   // The second full list comes earlier, by a time that differs by gateway.
   monotonic_time second = start + milliseconds(1);
-  while (next_update(writer, "g", second).since > 0) second += milliseconds(1);
+  while (next_update(publisher, "g", second).since > 0)
+    second += milliseconds(1);
   EXPECT_LE(second, start + interval);
-  EXPECT_GT(next_update(writer, "g", second + interval - milliseconds(1)).since,
-            0U);
-  const endpoint_list_update whole =
-      next_update(writer, "g", second + interval);
-  EXPECT_EQ(whole.since, 0U);
-  EXPECT_EQ(whole.endpoints.size(), 1U);
+  EXPECT_GT(
+      next_update(publisher, "g", second + interval - milliseconds(1)).since,
+      0U);
+  const endpoint_list_update full =
+      next_update(publisher, "g", second + interval);
+  EXPECT_EQ(full.since, 0U);
+  EXPECT_EQ(full.endpoints.size(), 1U);
 }
 
 // Guards against a reader that serializes the full lists for all gateways of a
 // region at once, which stalls it for seconds.
 TEST(endpoint_list_updates_test, full_lists_are_sent_at_different_times) {
   constexpr int gateways = 150;
-  constexpr int most_at_once = gateways / 5;  // twice the even share
-  endpoint_list_publisher writer("r", 7);
-  writer.update({endpoint("a")}, revision, start);
+  constexpr int max_at_once = gateways / 5;  // twice the even share
+  endpoint_list_publisher publisher("r", 7);
+  publisher.update({endpoint("a")}, revision, start);
   for (int second = 0; second <= 30; ++second) {
     const monotonic_time now = start + std::chrono::seconds(second);
-    int whole = 0;
+    int full_lists = 0;
     std::set<std::uint64_t> messages;
     for (int n = 0; n < gateways; ++n) {
       const std::uint64_t since =
-          writer.start_update("g" + std::to_string(n), now);
-      if (since == 0) ++whole;
+          publisher.start_update("g" + std::to_string(n), now);
+      if (since == 0) ++full_lists;
       messages.insert(since);
     }
-    if (second > 0) EXPECT_LE(whole, most_at_once) << second;
+    if (second > 0) EXPECT_LE(full_lists, max_at_once) << second;
     EXPECT_LE(messages.size(), 2U) << second;
   }
 }
 
-TEST(endpoint_list_updates_test, new_gateways_and_new_readers_use_full_lists) {
-  endpoint_list_publisher writer("r", 7);
-  writer.update({endpoint("a")}, revision, start);
-  next_update(writer, "g", start);
-  EXPECT_EQ(next_update(writer, "other", start).since, 0U);
+TEST(endpoint_list_updates_test,
+     new_gateways_and_restarted_readers_start_with_full_lists) {
+  endpoint_list_publisher publisher("r", 7);
+  publisher.update({endpoint("a")}, revision, start);
+  next_update(publisher, "g", start);
+  EXPECT_EQ(next_update(publisher, "other", start).since, 0U);
   endpoint_list_copy copy;
-  EXPECT_FALSE(copy.apply(next_update(writer, "g", start), start));
-  copy.apply(next_update(writer, "new", start), start);
+  EXPECT_FALSE(copy.apply(next_update(publisher, "g", start), start));
+  copy.apply(next_update(publisher, "new", start), start);
   endpoint_list_publisher restarted("r", 8);
   restarted.update({endpoint("b")}, revision, start);
   EXPECT_TRUE(copy.apply(next_update(restarted, "g", start), start));
@@ -142,51 +147,53 @@
   EXPECT_EQ(copy.all(start)[0].identity.id, "b");
 }
 
-TEST(endpoint_list_updates_test, the_list_states_its_configuration_revision) {
-  endpoint_list_publisher writer("r", 7);
+TEST(endpoint_list_updates_test,
+     updates_carry_the_covered_configuration_revision) {
+  endpoint_list_publisher publisher("r", 7);
   endpoint_list_copy copy;
   EXPECT_EQ(copy.covered_revision(), 0U);
-  writer.update({endpoint("a")}, 5, start);
-  copy.apply(round_trip(next_update(writer, "g", start)), start);
+  publisher.update({endpoint("a")}, 5, start);
+  copy.apply(round_trip(next_update(publisher, "g", start)), start);
   EXPECT_EQ(copy.covered_revision(), 5U);
   // The revision is sent even when no endpoint has changed.
-  writer.update({endpoint("a")}, 6, start);
-  copy.apply(round_trip(next_update(writer, "g", start)), start);
+  publisher.update({endpoint("a")}, 6, start);
+  copy.apply(round_trip(next_update(publisher, "g", start)), start);
   EXPECT_EQ(copy.covered_revision(), 6U);
 }
 
 TEST(endpoint_list_updates_test, a_new_incarnation_replaces_the_previous_one) {
-  endpoint_list_publisher writer("r", 7);
+  endpoint_list_publisher publisher("r", 7);
   endpoint_list_copy copy;
-  writer.update({endpoint("a")}, revision, start);
-  copy.apply(round_trip(next_update(writer, "g", start)), start);
+  publisher.update({endpoint("a")}, revision, start);
+  copy.apply(round_trip(next_update(publisher, "g", start)), start);
   listed_endpoint again = endpoint("a");
   again.identity.born = surface::start_time(milliseconds(1764722400123));
-  writer.update({again}, revision, start);
+  publisher.update({again}, revision, start);
   const endpoint_list_update update =
-      round_trip(next_update(writer, "g", start));
+      round_trip(next_update(publisher, "g", start));
   EXPECT_EQ(update.removed, (std::vector<std::string>{"a"}));
   EXPECT_TRUE(copy.apply(update, start));
   EXPECT_EQ(copy.all(start), (std::vector<listed_endpoint>{again}));
 }
 
 TEST(endpoint_list_updates_test, an_empty_list_is_valid) {
-  endpoint_list_publisher writer("r", 7);
+  endpoint_list_publisher publisher("r", 7);
   endpoint_list_copy copy;
-  EXPECT_TRUE(writer.empty());
-  writer.update({}, revision, start);
-  EXPECT_FALSE(writer.empty());
-  EXPECT_TRUE(copy.apply(round_trip(next_update(writer, "g", start)), start));
+  EXPECT_TRUE(publisher.empty());
+  publisher.update({}, revision, start);
+  EXPECT_FALSE(publisher.empty());
+  EXPECT_TRUE(
+      copy.apply(round_trip(next_update(publisher, "g", start)), start));
   EXPECT_TRUE(copy.all(start).empty());
 }
 
 TEST(endpoint_list_updates_test, outdated_updates_are_ignored) {
-  endpoint_list_publisher writer("r", 7);
+  endpoint_list_publisher publisher("r", 7);
   endpoint_list_copy copy;
-  writer.update({endpoint("a")}, revision, start);
-  const endpoint_list_update first = next_update(writer, "g", start);
-  writer.update({endpoint("a", true)}, revision, start);
-  const endpoint_list_update second = next_update(writer, "g", start);
+  publisher.update({endpoint("a")}, revision, start);
+  const endpoint_list_update first = next_update(publisher, "g", start);
+  publisher.update({endpoint("a", true)}, revision, start);
+  const endpoint_list_update second = next_update(publisher, "g", start);
   copy.apply(first, start);
   copy.apply(second, start);
   EXPECT_TRUE(copy.apply(first, start));
@@ -194,9 +201,9 @@
 }
 
 TEST(endpoint_list_updates_test, invalid_updates_are_rejected) {
-  endpoint_list_publisher writer("r", 7);
-  writer.update({endpoint("a")}, revision, start);
-  const json good = to_json(next_update(writer, "g", start));
+  endpoint_list_publisher publisher("r", 7);
+  publisher.update({endpoint("a")}, revision, start);
+  const json good = to_json(next_update(publisher, "g", start));
   ASSERT_TRUE(endpoint_list_update_from(good));
   const auto refused = [&good](const char* key, const json& value) {
     json bad = good;
@@ -249,10 +256,10 @@
   seeded_random random(7);
   std::set<milliseconds> seen;
   for (int i = 0; i < 50; ++i) {
-    const milliseconds next_update = reread_delay(false, interval, random);
-    EXPECT_GE(next_update, milliseconds(150));
-    EXPECT_LE(next_update, milliseconds(300));
-    seen.insert(next_update);
+    const milliseconds delay = reread_delay(false, interval, random);
+    EXPECT_GE(delay, milliseconds(150));
+    EXPECT_LE(delay, milliseconds(300));
+    seen.insert(delay);
   }
   EXPECT_GT(seen.size(), 20U);
   EXPECT_EQ(reread_delay(true, interval, random), interval);
--- a/node/test/watcher_paths-test.cc
+++ b/node/test/watcher_paths-test.cc
@@ -1,12 +1,12 @@
 // Tests which path to a watcher of the configuration is used.
 //
-// Guards against a change that reaches a watcher seconds late (5.1 s after its
-// acknowledgement, 2.2 s after all other watchers) when all open connections
-// stall at once: the first copy is lost with its connection; when the loss is
-// detected, the last direct poll is over 1 s old, so the next copy was sent
-// only through a relaying node, over a stalled connection too, and counted as
-// in flight for 4 s. The reopened direct connection would have worked, so after
-// a loss all paths have to be used.
+// Guards against a change that reaches a watcher seconds late when all open
+// connections stall at once; two gateways received one 5.1 s after its
+// acknowledgement, 2.2 s after all others. The first copy is lost with its
+// connection. When the loss is detected, the last direct poll is over 1 s old,
+// so the next copy was sent only through a relaying node, over a stalled
+// connection too, and counted as in flight for 4 s. The reopened direct
+// connection would have worked, so after a loss all paths have to be used.
 #include "watcher_paths.h"
 
 #include <gtest/gtest.h>
