--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -115,7 +115,11 @@
   /// Records the sender of a poll and returns its name. Returns an empty name
   /// when the sender is not in the directory and must send its full heartbeat.
   std::string identify_poller(const json& params);
+  /// Answers the probe of a founding node with this node's incarnation and
+  /// group.
   void handle_probe(const json& params);
+  /// Records the answer to a founding probe, and founds the group after the
+  /// last one. The founding fails if the probed node belongs to a group.
   void handle_probe_answer(const json& params);
   /// The part of an answer to a poll that only the leader sends: the
   /// revision, new or changed nodes, and the ledgers.
@@ -126,14 +130,20 @@
   /// Selects the id and the members of a new ledger in `region`; no members
   /// when the region has too few live nodes.
   config::ledger_founding new_ledger(const std::string& region) const;
+  /// Proposes ledgers for the regions that have none.
   void found_ledgers();
+  /// Sends join requests to the control nodes while this replica needs to join.
   void request_join();
+  /// Founds the group at the first start of the first seed, if the settings say
+  /// so.
   void found_from_seeds();
   std::unique_ptr<consensus::storage> open_storage() const;
+  /// Restarts the replica from disk after a failed write.
   void restart_after_failure();
   /// Logs when this leader's lease lapses while no other node is elected, and
   /// when it is renewed.
   void log_lease_changes();
+  /// Handles the join request of a control node, or forwards it to the leader.
   void handle_join(const json& params);
   std::string address_of(const std::string& node) const;
 
--- a/node/src/ledger_service.h
+++ b/node/src/ledger_service.h
@@ -60,7 +60,10 @@
   };
 
   void register_peer_methods();
+  /// Submits a fence from another region to this region's ledger, and sends the
+  /// decision back.
   void handle_fence(const json& params);
+  /// Handles the decision of a fence that was sent to another region.
   void handle_fenced(const json& params);
   void send_fence(remote_fence& it);
   void update_voters();
--- a/node/src/operator_service.h
+++ b/node/src/operator_service.h
@@ -55,7 +55,9 @@
   /// Adds a method that any node answers immediately.
   void add_sync_method(const std::string& name, const std::string& role,
                        std::function<result<json>(const json&)> method);
+  /// Runs a call relayed by another node, and sends the result back.
   void handle_relayed_call(const json& params);
+  /// Stores the result of a relayed call under its ticket.
   void handle_relayed_answer(const json& params);
   void relay(const std::string& ticket, relayed_call call);
   void send_relayed(relayed_call& call);
--- a/node/src/watch_client.h
+++ b/node/src/watch_client.h
@@ -47,6 +47,8 @@
   /// doesn't have this node's current state, else only the fields that show
   /// that the node is alive.
   void add_identity(json& params, const std::string& address);
+  /// Handles an answer to a poll or a pushed update. Forwards it if it is meant
+  /// for another watcher.
   void handle_update(const json& params);
   void apply(const json& update);
   /// Logs that an update could not be applied, and reports it to the leader in
