--- a/node/src/control_service.h
+++ b/node/src/control_service.h
@@ -36,7 +36,7 @@
   void tick();
 
   /// Proposes a change to the log; answers once its outcome is decided.
-  void propose(config::change asked, const answer_function& answer);
+  void propose(config::change requested, const answer_function& answer);
   /// Founds the configuration group. Fails when one exists already.
   void found(answer_function answer);
   /// Forms a new group of this node alone, from the data on its disk. Only for
@@ -52,7 +52,8 @@
   const config::config_state_machine& machine() const { return machine_; }
   /// Whether this node leads and holds the leader's lease.
   bool leads() const;
-  /// Whether this node is the leader of its term; it need not hold the lease.
+  /// Whether this node is the leader of its term as far as it knows, with or
+  /// without the lease.
   bool is_leader() const { return host_->core().is_leader(); }
   /// Whether changes may be acknowledged: there are enough voters to survive
   /// the loss of `tolerated_losses` control nodes.
@@ -114,7 +115,11 @@
   /// Records the sender of a poll and returns its name. Returns an empty name
   /// when the sender is not in the directory and must send its full heartbeat.
   std::string identify_poller(const json& params);
+  /// Answers the probe of a founding node with this node's incarnation and
+  /// group.
   void handle_probe(const json& params);
+  /// Records the answer to a founding probe, and founds the group after the
+  /// last one. The founding fails if the probed node belongs to a group.
   void handle_probe_answer(const json& params);
   /// The part of an answer to a poll that only the leader sends: the
   /// revision, new or changed nodes, and the ledgers.
@@ -122,17 +127,23 @@
                    const std::string& region) const;
   void on_decided(const config::audit_record& record);
   void finish_founding_if_ready();
-  /// The founding of a ledger in `region`; without members when the region
-  /// has too few live nodes.
+  /// Selects the id and the members of a new ledger in `region`; no members
+  /// when the region has too few live nodes.
   config::ledger_founding new_ledger(const std::string& region) const;
+  /// Proposes ledgers for the regions that have none.
   void found_ledgers();
+  /// Sends join requests to the control nodes while this replica needs to join.
   void request_join();
+  /// Founds the group at the first start of the first seed, if the settings say
+  /// so.
   void found_from_seeds();
   std::unique_ptr<consensus::storage> open_storage() const;
+  /// Restarts the replica from disk after a failed write.
   void restart_after_failure();
   /// Logs when this leader's lease lapses while no other node is elected, and
   /// when it is renewed.
   void log_lease_changes();
+  /// Handles the join request of a control node, or forwards it to the leader.
   void handle_join(const json& params);
   std::string address_of(const std::string& node) const;
 
@@ -143,8 +154,8 @@
   consensus::group_formation formation_{context_.observed_addresses};
   config_watchers watchers_{context_, machine_};
   hold_proposer hold_proposer_{
-      context_, machine_.store(), [this](config::change asked) {
-        propose(std::move(asked), [](const result<json>&) {});
+      context_, machine_.store(), [this](config::change requested) {
+        propose(std::move(requested), [](const result<json>&) {});
       }};
   group_orders orders_{context_, *this};
   node_directory node_directory_;
--- a/node/src/digest_service.cc
+++ b/node/src/digest_service.cc
@@ -221,14 +221,14 @@
     }
     return;
   }
-  // Nodes that request digests get it with their next one.
+  // This node is a relay: its requesters get the data in their next digest.
   if (!requesters_.empty()) return;
   for (const std::string& it : relays()) {
     context_.links.send(peer_addresses.at(it), method, forwarded);
   }
 }
 
-membership::endpoint_sums digest_service::other_gateways() const {
+membership::endpoint_sums digest_service::other_gateway_sums() const {
   const monotonic_time now = context_.clock.now();
   membership::endpoint_sums direct_sums = membership::excluding_node(
       membership::sum_of(context_.nodes, context_.self.region, now),
--- a/node/src/node.cc
+++ b/node/src/node.cc
@@ -47,13 +47,13 @@
 constexpr milliseconds idle_connection_lifetime{60'000};
 // Covers the longest round trip to an endpoint, about 110 ms between regions.
 constexpr milliseconds endpoint_connect_timeout{400};
-// In seconds.
+// Upper bounds in seconds.
 const prometheus::Histogram::BucketBoundaries confirm_buckets{
     0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8};
 
 }  // namespace
 
-/// What the other members are constructed from and what can fail to load: the
+/// Resources that the services of a node use and whose loading may fail: the
 /// clock, the charts, the lock of the data folder and the incarnation.
 struct node::node_resources {
   result<void> prepare(const settings& options);
@@ -325,7 +325,7 @@
     crash_reports.report_crash(it);
   };
   crashes.on_run_completed = [this](const std::string& fingerprint) {
-    crash_reports.report_success(fingerprint);
+    crash_reports.run_completed(fingerprint);
   };
   peer_dispatcher.add_notification(
       "crash.suspects",
