--- a/charts/include/trestlepost/charts/chart.h
+++ b/charts/include/trestlepost/charts/chart.h
@@ -24,7 +24,7 @@
 using guard_function = std::function<bool(const std::string&)>;
 
 /// A validated chart. Every state handles or ignores every event, every state
-/// is reachable, and every guard is known to the code.
+/// is reachable, and the code provides every guard.
 class chart {
  public:
   /// Reads a chart from JSON with comments. Reports all errors at once.
--- a/gateway/include/trestlepost/gateway/admission.h
+++ b/gateway/include/trestlepost/gateway/admission.h
@@ -39,8 +39,9 @@
  public:
   explicit admission(gateway_context& context) : context_(context) {}
 
-  /// Waits for an endpoint until the request's deadline, and returns the
-  /// refusal if there is none by then.
+  /// Waits until an endpoint has capacity for the request. Returns a refusal if
+  /// no endpoint accepts requests, the deadline can't be met, the full queue
+  /// drops the request, or the caller disconnects.
   transport::awaitable<tl::expected<endpoint_lease, attempt>> admit(
       const incoming_request& request, std::set<std::string> avoid,
       transport::http_exchange& exchange);
--- a/gateway/include/trestlepost/gateway/attempt.h
+++ b/gateway/include/trestlepost/gateway/attempt.h
@@ -19,7 +19,10 @@
   /// follow.
   bool delivered = false;
   run_state ran = run_state::no;
-  error cause;  // set unless delivered
+  /// Why the caller received no complete answer. Always set unless `delivered`.
+  /// For an answer that was interrupted after its start, set for routed
+  /// requests only.
+  error cause;
   std::chrono::milliseconds retry_after{0};
   std::string endpoint;  // the endpoint tried, or empty
   unsigned sends = 0;    // endpoints the request was written to
--- a/gateway/include/trestlepost/gateway/crash_monitor.h
+++ b/gateway/include/trestlepost/gateway/crash_monitor.h
@@ -55,8 +55,9 @@
   bool holds_any() const;
   /// Returns the refusal for the request if it is held.
   std::optional<attempt> refusal_of(const std::string& fingerprint) const;
-  /// Returns whether the request is suspected of causing crashes. A caller's
-  /// attempt at such a request may cost one endpoint at most.
+  /// Returns whether the request is suspected of causing crashes. It is not
+  /// retried after an attempt in which an endpoint may have crashed, so that
+  /// each attempt of a caller crashes one endpoint at most.
   bool is_suspect(const std::string& fingerprint) const;
 
   /// Adds requests under which other gateways observed crashes.
@@ -71,9 +72,9 @@
   /// Probes the endpoint at `at` and evaluates the interrupted runs.
   transport::awaitable<void> probe(run_location at);
   void record_crash(const std::string& fingerprint, const run_location& at);
-  /// Holds the requests that this gateway's own observations are sufficient to
-  /// hold.
-  void apply_own_verdicts();
+  /// Marks or holds the requests to which this gateway's own observations
+  /// attribute enough crashes.
+  void apply_own_attribution();
   void hold_locally(const std::string& fingerprint);
   /// Clears the evidence against requests that were released.
   void apply_releases();
--- a/gateway/include/trestlepost/gateway/endpoint_pool.h
+++ b/gateway/include/trestlepost/gateway/endpoint_pool.h
@@ -29,7 +29,7 @@
  public:
   explicit endpoint_pool(gateway_context& context) : context_(context) {}
 
-  /// Replaces the list of endpoints by the deployment's whole list, which
+  /// Replaces the list of endpoints by the deployment's full list, which
   /// reflects the configuration up to revision `covers`. `zones` maps
   /// availability zones to regions.
   void update_list(const std::vector<surface::listed_endpoint>& listed,
@@ -95,8 +95,8 @@
   /// highest.
   std::vector<membership::endpoint_view> likely_to_accept(
       const std::vector<membership::endpoint_view>& available) const;
-  /// Returns the number of gateways in the local region that are not known to
-  /// be dead; at least one.
+  /// Returns the number of gateways in the local region, including this one
+  /// and unreachable ones that may still serve their callers.
   unsigned region_gateway_count() const;
 
   /// The zone and the service of an endpoint.
--- a/gateway/include/trestlepost/gateway/endpoint_runner.h
+++ b/gateway/include/trestlepost/gateway/endpoint_runner.h
@@ -23,12 +23,12 @@
         pool_(pool),
         crashes_(crashes) {}
 
-  /// With `may_give_up`, abandons an endpoint that sends nothing for much
+  /// With `may_abandon`, abandons an endpoint that sends nothing for much
   /// longer than expected, so that another one can be tried. `events` is new,
   /// or contains the state of the stream that is to be continued.
   transport::awaitable<attempt> run(routed_request& request,
                                     const chosen_endpoint& endpoint,
-                                    bool may_give_up, event_scanner& events,
+                                    bool may_abandon, event_scanner& events,
                                     transport::http_exchange& exchange);
 
  private:
@@ -51,8 +51,8 @@
   /// Relays a resumable stream, in complete events only.
   transport::awaitable<attempt> deliver_events(active_run& current);
   /// Returns false if the caller disconnected.
-  transport::awaitable<bool> pass_events(active_run& current, std::string text,
-                                         bool ended);
+  transport::awaitable<bool> relay_events(active_run& current, std::string text,
+                                          bool ended);
   /// The endpoint answered a continuation with something other than a stream.
   attempt continuation_rejected(active_run& current);
   /// The stream was interrupted, before or after its first event.
--- a/gateway/include/trestlepost/gateway/event_scanner.h
+++ b/gateway/include/trestlepost/gateway/event_scanner.h
@@ -77,7 +77,8 @@
   stream_fault check_incomplete(std::size_t complete_size);
   /// Removes the first `complete_size` bytes from the buffer and returns them.
   std::string take_prefix(std::size_t complete_size);
-  /// Gives up scanning: passes on the buffer and everything that follows.
+  /// Stops scanning: outputs the buffer and passes everything that follows
+  /// through unchanged.
   void start_pass_through(scan_result& out);
   void reset_event();
 
--- a/gateway/include/trestlepost/gateway/forward_handler.h
+++ b/gateway/include/trestlepost/gateway/forward_handler.h
@@ -1,4 +1,4 @@
-// Handles requests forwarded by gateways of other regions.
+// Handles model and service calls forwarded by gateways of other regions.
 #pragma once
 
 #include "trestlepost/gateway/context.h"
--- a/gateway/include/trestlepost/gateway/forward_message.h
+++ b/gateway/include/trestlepost/gateway/forward_message.h
@@ -1,6 +1,6 @@
-// The message a gateway sends to a gateway of another region to forward a
-// request. A forwarded request has a separate type, so that its receiver serves
-// or refuses it and can't forward it again.
+// The message a gateway sends to a gateway of another region to forward a model
+// or service call. A forwarded request has a separate type, so that its
+// receiver serves or refuses it and can't forward it again.
 #pragma once
 
 #include <set>
--- a/gateway/include/trestlepost/gateway/forwarder.h
+++ b/gateway/include/trestlepost/gateway/forwarder.h
@@ -1,4 +1,4 @@
-// Forwards a request to a gateway of another permitted region.
+// Forwards a model or service call to a gateway of another permitted region.
 #pragma once
 
 #include <set>
--- a/gateway/include/trestlepost/gateway/local_service.h
+++ b/gateway/include/trestlepost/gateway/local_service.h
@@ -1,5 +1,6 @@
-// Serves requests on the endpoints of the local region or refuses them. It
-// never forwards, so a request from another region can't be forwarded again.
+// Serves model and service calls on the endpoints of the local region or
+// refuses them. It never forwards, so a request from another region can't be
+// forwarded again.
 #pragma once
 
 #include <set>
@@ -45,7 +46,7 @@
       transport::http_exchange& exchange);
   /// Closes the key in regions that kept its record before. Returns the
   /// result of the request unless all of them have closed it.
-  transport::awaitable<std::optional<attempt>> fence_former_homes(
+  transport::awaitable<std::optional<attempt>> fence_previous_homes(
       const incoming_request& request, const std::string& attempt_id,
       transport::http_exchange& exchange);
   /// Replays the recorded answer or refuses the request, as decided by the
--- a/gateway/include/trestlepost/gateway/metrics.h
+++ b/gateway/include/trestlepost/gateway/metrics.h
@@ -19,7 +19,10 @@
   /// `outcome` is "answered" or the error kind of the refusal.
   void request_done(const std::string& service, const std::string& outcome,
                     std::chrono::nanoseconds duration);
+  /// A request was answered by an endpoint of `region`.
   void served_in(const std::string& service, const std::string& region);
+  /// `duration` is the time until the first piece of an answer arrived, for
+  /// routed requests since their arrival, for others since they left the queue.
   void first_piece(const std::string& service,
                    std::chrono::nanoseconds duration);
   /// A request was written to an endpoint. `first`: it was not written to any
--- a/gateway/include/trestlepost/gateway/region_views.h
+++ b/gateway/include/trestlepost/gateway/region_views.h
@@ -1,4 +1,5 @@
-// Summarizes what this gateway knows of every region for one service.
+// Summarizes the state of every region for one service, as reported to this
+// gateway.
 #pragma once
 
 #include <set>
--- a/gateway/include/trestlepost/gateway/request.h
+++ b/gateway/include/trestlepost/gateway/request.h
@@ -1,4 +1,5 @@
-// A request of a caller, as handled inside the gateway.
+// A model or service call, as handled inside the gateway. It names its service;
+// requests that the traffic plan routes are defined in `routed_request.h`.
 #pragma once
 
 #include <memory>
@@ -10,7 +11,7 @@
 
 namespace trestlepost::gateway {
 
-/// A validated request with its whole body.
+/// A validated request with its complete body.
 struct incoming_request {
   /// The head with a valid request id. Its target is the path at the endpoint.
   surface::call_head head;
--- a/gateway/include/trestlepost/gateway/route_forwarder.h
+++ b/gateway/include/trestlepost/gateway/route_forwarder.h
@@ -37,15 +37,15 @@
                                                 const std::string& service);
   transport::http_request make_request(const routed_request& request) const;
   /// Relays the answer of the other gateway to the caller.
-  transport::awaitable<attempt> pass_back(const routed_request& request,
-                                          transport::http_call& call,
-                                          transport::http_exchange& exchange);
+  transport::awaitable<attempt> relay_answer(
+      const routed_request& request, transport::http_call& call,
+      transport::http_exchange& exchange);
 
   gateway_context& context_;
   const surface::surfaces& surfaces_;
   /// Records whether the endpoints of `region` accepted the request.
-  void note_acceptance(const std::string& region, const std::string& service,
-                       const attempt& outcome);
+  void record_acceptance(const std::string& region, const std::string& service,
+                         const attempt& outcome);
 
   std::map<std::string, std::uint32_t> unanswered_;  // by region
   routing::acceptance_estimator acceptance_;         // by region and service
--- a/gateway/include/trestlepost/gateway/route_service.h
+++ b/gateway/include/trestlepost/gateway/route_service.h
@@ -26,16 +26,16 @@
         retry_limits_(retries) {}
 
   /// Runs `request` on one endpoint after another, as permitted by its route,
-  /// starting with `first` if one is already selected. The caller has charged
-  /// the first send.
+  /// starting with `first` if one is already selected. The first send must
+  /// have been charged, here or by the gateway that forwarded the request.
   transport::awaitable<attempt> serve(
       routed_request& request, const std::optional<chosen_endpoint>& first,
       transport::http_exchange& exchange);
 
   /// Records that a caller of this gateway sent a request for `service`, which
-  /// adds a fraction of a retry to the budget. A gateway that serves the
-  /// request on behalf of this one does not record it.
-  void request_seen(const std::string& service);
+  /// adds a fraction of a retry to the retry budget of the service. A gateway
+  /// that serves the request on behalf of this one does not record it.
+  void record_request(const std::string& service);
 
   /// Charges one send of `request`, to an endpoint in any region, to the retry
   /// budget. The first send is free. Returns false if the budget is exhausted.
--- a/gateway/src/admission.cc
+++ b/gateway/src/admission.cc
@@ -1,3 +1,4 @@
+// Admission of requests through a fair queue per service.
 #include "trestlepost/gateway/admission.h"
 
 #include <algorithm>
--- a/gateway/src/answer_relay.cc
+++ b/gateway/src/answer_relay.cc
@@ -1,3 +1,4 @@
+// Relays streamed answers piece by piece.
 #include "answer_relay.h"
 
 #include <utility>
@@ -29,7 +30,8 @@
     open = co_await exchange.write_piece(std::move(text));
     if (!open) break;
     piece = co_await call.read_piece();
-    // A call is cancelled when the caller disconnects.
+    // The call is cancelled when the caller disconnects, so a failed read is no
+    // interruption in that case.
     open = !exchange.is_disconnected();
     if (!open) break;
     if (!piece) {
--- a/gateway/src/crash_monitor.cc
+++ b/gateway/src/crash_monitor.cc
@@ -1,3 +1,4 @@
+// Probes endpoints after interrupted runs, and holds requests that crash them.
 #include "trestlepost/gateway/crash_monitor.h"
 
 #include <algorithm>
@@ -158,14 +159,15 @@
 }
 
 void crash_monitor::hold_locally(const std::string& fingerprint) {
-  // Already held by the configuration; only an operator may release it.
+  // A request held by the configuration stays held until an operator releases
+  // it, so a local hold is not needed.
   if (context_.store.held_requests().contains(fingerprint)) return;
   set_expiry(local_holds_, fingerprint, context_.clock.now() + local_hold_time);
   log_event(log_level::info, "request-held-locally",
             {{"fingerprint", fingerprint}});
 }
 
-void crash_monitor::apply_own_verdicts() {
+void crash_monitor::apply_own_attribution() {
   add_suspects(attribution_.take_suspects());
   const monotonic_time now = context_.clock.now();
   for (const routing::hold_proposal& it :
@@ -196,7 +198,7 @@
 }
 
 void crash_monitor::tick() {
-  apply_own_verdicts();
+  apply_own_attribution();
   apply_releases();
   remove_expired();
 }
--- a/gateway/src/delivery.cc
+++ b/gateway/src/delivery.cc
@@ -1,3 +1,4 @@
+// Sends answers and refusals to callers.
 #include "trestlepost/gateway/delivery.h"
 
 #include <algorithm>
--- a/gateway/src/endpoint_incarnations.cc
+++ b/gateway/src/endpoint_incarnations.cc
@@ -1,3 +1,4 @@
+// Drops list entries of superseded endpoint incarnations.
 #include "trestlepost/gateway/endpoint_incarnations.h"
 
 #include "trestlepost/base/log.h"
--- a/gateway/src/endpoint_pool.cc
+++ b/gateway/src/endpoint_pool.cc
@@ -1,3 +1,4 @@
+// Maintains the listed endpoints of the local region and selects among them.
 #include "trestlepost/gateway/endpoint_pool.h"
 
 #include <algorithm>
@@ -174,8 +175,8 @@
   for (const endpoint_view& it : available) {
     if (it.load >= it.limit * max_load_factor) continue;
     evaluated_endpoint one = evaluator.evaluate(it);
-    one.candidate.accept_probability = one.chosen.acceptance_probability =
-        acceptance_.accept_probability(it.name, now);
+    one.candidate.acceptance_probability = one.chosen.acceptance_probability =
+        acceptance_.acceptance_probability(it.name, now);
     chosen.push_back(std::move(one.chosen));
     candidates.push_back(one.candidate);
   }
@@ -192,12 +193,12 @@
   const monotonic_time now = context_.clock.now();
   double best = 0;
   for (const endpoint_view& it : available) {
-    best = std::max(best, acceptance_.accept_probability(it.name, now));
+    best = std::max(best, acceptance_.acceptance_probability(it.name, now));
   }
   std::vector<endpoint_view> out;
   for (const endpoint_view& it : available) {
-    const double chance = acceptance_.accept_probability(it.name, now);
-    if (chance >= min_acceptance_ratio * best) out.push_back(it);
+    const double probability = acceptance_.acceptance_probability(it.name, now);
+    if (probability >= min_acceptance_ratio * best) out.push_back(it);
   }
   return out;
 }
@@ -207,7 +208,7 @@
   out.name = view.name;
   out.address = view.address;
   out.acceptance_probability =
-      acceptance_.accept_probability(view.name, context_.clock.now());
+      acceptance_.acceptance_probability(view.name, context_.clock.now());
   return out;
 }
 
--- a/gateway/src/endpoint_runner.cc
+++ b/gateway/src/endpoint_runner.cc
@@ -1,3 +1,4 @@
+// Sends a request to one endpoint and delivers its answer.
 #include "trestlepost/gateway/endpoint_runner.h"
 
 #include <algorithm>
@@ -66,13 +67,13 @@
 
 awaitable<attempt> endpoint_runner::run(routed_request& request,
                                         const chosen_endpoint& endpoint,
-                                        bool may_give_up, event_scanner& events,
+                                        bool may_abandon, event_scanner& events,
                                         transport::http_exchange& exchange) {
   active_run current{request, endpoint, events, exchange,
                      context_.client.call(endpoint.address)};
   current.started = context_.clock.now();
   current.answer_by = request.deadline;
-  if (may_give_up) {
+  if (may_abandon) {
     const milliseconds silence = max_silence(request, endpoint.expected);
     current.answer_by = std::min(request.deadline, current.started + silence);
   }
@@ -344,7 +345,7 @@
                               : current.events.push(std::move(*piece));
     const stream_fault fault = found.fault;
     const bool open =
-        co_await pass_events(current, std::move(found.output), ended);
+        co_await relay_events(current, std::move(found.output), ended);
     if (!open) co_return caller_disconnected(current);
     if (fault == stream_fault::none) continue;
     if (current.events.continued())
@@ -362,9 +363,10 @@
   co_return out;
 }
 
-awaitable<bool> endpoint_runner::pass_events(active_run& current,
-                                             std::string text, bool ended) {
-  // A stream without events so far can still be restarted elsewhere.
+awaitable<bool> endpoint_runner::relay_events(active_run& current,
+                                              std::string text, bool ended) {
+  // The response starts with the first event. Until then, the request can be
+  // sent to another endpoint from the start.
   const bool begins = !current.exchange.has_response_started();
   if (begins && text.empty() && !ended)
     co_return !current.exchange.is_disconnected();
--- a/gateway/src/engine_evaluator.cc
+++ b/gateway/src/engine_evaluator.cc
@@ -1,3 +1,4 @@
+// Evaluates endpoints by expected completion, prefill and cache copies.
 #include "trestlepost/gateway/engine_evaluator.h"
 
 #include <algorithm>
--- a/gateway/src/entry_handler.cc
+++ b/gateway/src/entry_handler.cc
@@ -1,3 +1,4 @@
+// Handles callers' HTTP requests: directory, readiness, and calls.
 #include "trestlepost/gateway/entry_handler.h"
 
 #include <utility>
@@ -23,7 +24,8 @@
          kind == error_kind::configuration_behind;
 }
 
-/// Returns whether the whole region refused, rather than one of its endpoints.
+/// Returns whether the region as a whole refused the request, rather than one
+/// of its endpoints.
 bool region_refused(error_kind kind) {
   return kind != error_kind::endpoint_failed;
 }
--- a/gateway/src/event_scanner.cc
+++ b/gateway/src/event_scanner.cc
@@ -1,3 +1,4 @@
+// Incremental parser of event streams that tracks the last complete event.
 #include "trestlepost/gateway/event_scanner.h"
 
 #include <charconv>
@@ -137,7 +138,8 @@
 }
 
 stream_fault event_scanner::check_incomplete(std::size_t complete_size) {
-  // No LF follows, so a CR before the last byte stands alone.
+  // The incomplete line contains no LF, so a CR before the last byte does not
+  // belong to a CR LF.
   const std::size_t cr = buffer_.find('\r', search_start_);
   const bool at_end = cr != std::string::npos && cr + 1 == buffer_.size();
   if (cr != std::string::npos && !at_end) return stream_fault::unreadable;
--- a/gateway/src/forward_handler.cc
+++ b/gateway/src/forward_handler.cc
@@ -1,3 +1,4 @@
+// Verifies, resolves and serves forwarded model and service calls.
 #include "trestlepost/gateway/forward_handler.h"
 
 #include <utility>
@@ -46,7 +47,7 @@
   if (message->sent_at + forward_lifetime < now ||
       message->sent_at > now + forward_lifetime) {
     return fail(error_kind::unauthorized, "the forwarded request is too old",
-                "set the clocks of all nodes");
+                "synchronize the clocks of all nodes");
   }
   return message;
 }
--- a/gateway/src/forward_message.cc
+++ b/gateway/src/forward_message.cc
@@ -1,3 +1,4 @@
+// JSON encoding of forwarded calls, and the digest that authenticates them.
 #include "trestlepost/gateway/forward_message.h"
 
 #include <utility>
--- a/gateway/src/forwarder.cc
+++ b/gateway/src/forwarder.cc
@@ -1,3 +1,4 @@
+// Forwards a call to the less loaded of two random gateways of a region.
 #include "trestlepost/gateway/forwarder.h"
 
 #include <charconv>
--- a/gateway/src/local_service.cc
+++ b/gateway/src/local_service.cc
@@ -1,3 +1,4 @@
+// Serves calls on local endpoints; run-once calls are claimed in the ledger.
 #include "trestlepost/gateway/local_service.h"
 
 #include <algorithm>
@@ -126,7 +127,7 @@
   }
   const std::string attempt_id = context_.ledger.make_attempt_id();
   std::optional<attempt> stopped =
-      co_await fence_former_homes(request, attempt_id, exchange);
+      co_await fence_previous_homes(request, attempt_id, exchange);
   if (stopped) co_return std::move(*stopped);
   stopped = co_await claim(request, attempt_id, exchange);
   if (stopped) co_return std::move(*stopped);
@@ -136,18 +137,18 @@
   co_return delivered.outcome;
 }
 
-awaitable<std::optional<attempt>> local_service::fence_former_homes(
+awaitable<std::optional<attempt>> local_service::fence_previous_homes(
     const incoming_request& request, const std::string& attempt_id,
     http_exchange& exchange) {
-  const std::vector<std::string> former = routing::previous_homes(
+  const std::vector<std::string> previous = routing::previous_homes(
       context_.store, *request.caller, *request.service, request.labels,
       context_.self.region, context_.clock.wall_now());
-  if (former.empty()) co_return std::nullopt;
+  if (previous.empty()) co_return std::nullopt;
   const result<routing::placement> placed = routing::compute_placement(
       routing::inputs_of(context_.store), *request.caller, *request.service,
       request.labels);
   int n = 0;
-  for (const std::string& region : former) {
+  for (const std::string& region : previous) {
     // The record must not be looked up in a region that may no longer receive
     // the request.
     if (!placed || !placed->permits(region)) {
@@ -339,7 +340,8 @@
   const std::string service = request.service->name;
   transport::header_list headers = answer_headers(
       context_.self.region, run_state::yes, request.head.request_id);
-  // Named, since g++ 12 destroys a closure in an awaited call twice.
+  // A named variable, since g++ 12 destroys a temporary closure in the argument
+  // list of an awaited call twice.
   std::function<void()> on_first = [this, started, service] {
     context_.metrics.first_piece(service, context_.clock.now() - started);
   };
--- a/gateway/src/metrics.cc
+++ b/gateway/src/metrics.cc
@@ -1,3 +1,4 @@
+// Definitions of the gateway's Prometheus metrics.
 #include "trestlepost/gateway/metrics.h"
 
 namespace trestlepost::gateway {
--- a/gateway/src/preferred_endpoint.cc
+++ b/gateway/src/preferred_endpoint.cc
@@ -1,3 +1,4 @@
+// The key by which endpoints are ranked for a prompt section.
 #include "trestlepost/gateway/preferred_endpoint.h"
 
 namespace trestlepost::gateway {
--- a/gateway/src/refusal_message.cc
+++ b/gateway/src/refusal_message.cc
@@ -1,3 +1,4 @@
+// JSON encoding of refusals between gateways.
 #include "refusal_message.h"
 
 #include "trestlepost/base/json.h"
@@ -41,8 +42,9 @@
        text_of(value, "remedy")},
       std::chrono::milliseconds(number_of(value, "retry_after_ms")));
   out.endpoint = text_of(value, "endpoint");
-  // A body that can't be parsed may hide a send. Counting none could exceed the
-  // number of endpoints that the route permits.
+  // If the body can't be parsed, the request may have been sent to an endpoint.
+  // Counting no send could exceed the number of attempts that the route
+  // permits.
   out.sends = parsed ? static_cast<unsigned>(number_of(value, "sends")) : 1;
   return out;
 }
--- a/gateway/src/region_views.cc
+++ b/gateway/src/region_views.cc
@@ -1,3 +1,4 @@
+// State of the regions, from own endpoints and advertised loads.
 #include "trestlepost/gateway/region_views.h"
 
 #include <algorithm>
--- a/gateway/src/remote_caches.cc
+++ b/gateway/src/remote_caches.cc
@@ -1,3 +1,4 @@
+// Endpoints of other regions as sources of cached prompt sections.
 #include "trestlepost/gateway/remote_caches.h"
 
 #include <utility>
--- a/gateway/src/request.cc
+++ b/gateway/src/request.cc
@@ -1,3 +1,4 @@
+// Digest of a call, for the detection of reused idempotency keys.
 #include "trestlepost/gateway/request.h"
 
 #include "trestlepost/base/hash.h"
--- a/gateway/src/request_fingerprint.cc
+++ b/gateway/src/request_fingerprint.cc
@@ -1,3 +1,4 @@
+// Keyed fingerprints of requests.
 #include "trestlepost/gateway/request_fingerprint.h"
 
 #include "trestlepost/base/hash.h"
--- a/gateway/src/route_forward_handler.cc
+++ b/gateway/src/route_forward_handler.cc
@@ -1,3 +1,4 @@
+// Verifies, routes and serves forwarded routed requests.
 #include "trestlepost/gateway/route_forward_handler.h"
 
 #include <charconv>
--- a/gateway/src/route_forwarder.cc
+++ b/gateway/src/route_forwarder.cc
@@ -1,3 +1,4 @@
+// Forwards routed requests and estimates whether other regions accept them.
 #include "trestlepost/gateway/route_forwarder.h"
 
 #include <algorithm>
@@ -60,9 +61,9 @@
   return it == unanswered_.end() ? 0 : it->second;
 }
 
-void route_forwarder::note_acceptance(const std::string& region,
-                                      const std::string& service,
-                                      const attempt& outcome) {
+void route_forwarder::record_acceptance(const std::string& region,
+                                        const std::string& service,
+                                        const attempt& outcome) {
   const std::string place = region + "/" + service;
   const bool rejected = outcome.ran == run_state::no && outcome.sends > 0;
   if (rejected) acceptance_.record_rejected(place, context_.clock.now());
@@ -72,8 +73,8 @@
 
 double route_forwarder::acceptance_probability(
     const std::string& region, const std::string& service) const {
-  return acceptance_.accept_probability(region + "/" + service,
-                                        context_.clock.now());
+  return acceptance_.acceptance_probability(region + "/" + service,
+                                            context_.clock.now());
 }
 
 transport::http_request route_forwarder::make_request(
@@ -130,14 +131,14 @@
         co_await call->read_rest(max_refusal_bytes);
     outcome = read_refusal(body ? *body : "{}");
   } else {
-    outcome = co_await pass_back(request, *call, exchange);
+    outcome = co_await relay_answer(request, *call, exchange);
   }
   exchange.on_disconnect(nullptr);
-  note_acceptance(region, request.service, outcome);
+  record_acceptance(region, request.service, outcome);
   co_return outcome;
 }
 
-awaitable<attempt> route_forwarder::pass_back(
+awaitable<attempt> route_forwarder::relay_answer(
     const routed_request& request, transport::http_call& call,
     transport::http_exchange& exchange) {
   attempt out;
--- a/gateway/src/route_handler.cc
+++ b/gateway/src/route_handler.cc
@@ -1,3 +1,4 @@
+// Routes a request and tries permitted regions until one of them serves it.
 #include "trestlepost/gateway/route_handler.h"
 
 #include <algorithm>
@@ -26,8 +27,7 @@
 constexpr milliseconds startup_check_interval{20};
 
 error unavailable_error(const std::string& what) {
-  return {error_kind::unavailable_error, what,
-          "send it again after Retry-After"};
+  return {error_kind::unavailable, what, "send it again after Retry-After"};
 }
 
 }  // namespace
@@ -87,9 +87,9 @@
   out.route = found;
   out.service = routing::choose_service(*found, context_.random);
   out.arrived = arrived;
-  const milliseconds patience =
+  const milliseconds time_limit =
       std::min(head.caller_timeout.value_or(found->timeout), found->timeout);
-  out.deadline = out.arrived + patience;
+  out.deadline = out.arrived + time_limit;
   out.head = std::move(head);
   out.body = std::move(body);
   return out;
@@ -99,8 +99,9 @@
                                       monotonic_time arrived,
                                       http_exchange& exchange) {
   const std::string id = head.request_id;
-  // After a stall, the backlog is read in arbitrary order. A request may be
-  // read before the change that forbids a destination for it.
+  // After a stall, pending requests and configuration changes are read in
+  // arbitrary order. A request may be read before the change that forbids a
+  // destination for it.
   while (!routes_.plan() || context_.state.is_behind(context_.clock.now())) {
     const bool waited = co_await wait_for_startup(arrived, exchange);
     if (!waited) break;
@@ -119,7 +120,7 @@
     co_await refuse(refused, id, exchange);
     co_return;
   }
-  local_.request_seen(request->service);
+  local_.record_request(request->service);
   attempt outcome = co_await run(*request, exchange);
   local_.release_unused_sends(*request);
   record(*request, outcome);
@@ -216,8 +217,8 @@
   context_.metrics.request_done(request.service, name, passed);
   const std::int64_t ms =
       std::chrono::duration_cast<milliseconds>(passed).count();
-  // Separate event names, so that the limit on answered requests does not drop
-  // failures.
+  // Log lines are rate-limited by event name. Failures have their own, so that
+  // they are not dropped among the lines of answered requests.
   const bool complete = outcome.delivered && outcome.cause.message.empty();
   log_event(complete ? log_level::info : log_level::warn,
             complete ? "request-answered" : "request-failed",
--- a/gateway/src/route_message.cc
+++ b/gateway/src/route_message.cc
@@ -1,3 +1,4 @@
+// JSON encoding of forwarded routed requests.
 #include "trestlepost/gateway/route_message.h"
 
 #include <utility>
--- a/gateway/src/route_regions.cc
+++ b/gateway/src/route_regions.cc
@@ -1,3 +1,4 @@
+// Compares the local region with others by the value of the request there.
 #include "trestlepost/gateway/route_regions.h"
 
 #include <algorithm>
--- a/gateway/src/route_service.cc
+++ b/gateway/src/route_service.cc
@@ -1,3 +1,4 @@
+// Tries local endpoints within the retry budget and resumes streams.
 #include "trestlepost/gateway/route_service.h"
 
 #include <algorithm>
@@ -150,7 +151,7 @@
   return last.ran == run_state::no || request.route->may_repeat();
 }
 
-void route_service::request_seen(const std::string& service) {
+void route_service::record_request(const std::string& service) {
   retries_of(service).add_request();
 }
 
@@ -216,15 +217,16 @@
       if (!last) last = std::move(chosen.error());
       break;
     }
-    // The sender has charged the first send.
+    // The first send was charged by the route handler, or by the gateway that
+    // forwarded the request.
     if (last && !charge_send(request)) break;
     if (last) record_retry(request, *last, context_.self.region);
-    const bool may_give_up =
+    const bool may_abandon =
         request.route->may_repeat() &&
         request.sends.count() + 1 < request.route->attempts;
     event_scanner events;
     last =
-        co_await runner_.run(request, *chosen, may_give_up, events, exchange);
+        co_await runner_.run(request, *chosen, may_abandon, events, exchange);
     request.sends.record_sent(last->sends);
     if (last->stream_interrupted) {
       request.avoid.insert(chosen->name);
@@ -308,10 +310,10 @@
     }
     const std::string last_event = events.resume_point();
     events.start_continuation();
-    const bool may_give_up =
+    const bool may_abandon =
         request.sends.count() + 1 < request.route->attempts;
     attempt next =
-        co_await runner_.run(request, *chosen, may_give_up, events, exchange);
+        co_await runner_.run(request, *chosen, may_abandon, events, exchange);
     request.sends.record_sent(next.sends);
     request.avoid.insert(chosen->name);
     const std::string outcome = outcome_of(next, exchange.is_disconnected());
--- a/gateway/src/routed_request.cc
+++ b/gateway/src/routed_request.cc
@@ -1,3 +1,4 @@
+// Fingerprint, engine work and permitted regions of a routed request.
 #include "trestlepost/gateway/routed_request.h"
 
 #include <algorithm>
--- a/gateway/test/event_scanner-test.cc
+++ b/gateway/test/event_scanner-test.cc
@@ -71,10 +71,11 @@
     for (std::size_t cut = 0; cut <= all.size(); ++cut) {
       event_scanner scanner;
       const std::string first = scanner.push(all.substr(0, cut)).output;
-      std::size_t whole = 0;
-      for (const std::size_t it : ends) whole = it <= cut ? it : whole;
-      EXPECT_EQ(first, all.substr(0, whole)) << cut;
-      EXPECT_EQ(scanner.is_incomplete(), whole != cut) << cut;
+      std::size_t complete_size = 0;
+      for (const std::size_t it : ends)
+        complete_size = it <= cut ? it : complete_size;
+      EXPECT_EQ(first, all.substr(0, complete_size)) << cut;
+      EXPECT_EQ(scanner.is_incomplete(), complete_size != cut) << cut;
       const std::string rest = scanner.push(all.substr(cut)).output;
       EXPECT_EQ(first + rest, all) << cut;
       EXPECT_EQ(scanner.resume_point(), "10") << cut;
@@ -85,10 +86,10 @@
 
 TEST(event_scanner_test,
      an_oversized_event_is_passed_on_without_a_resume_point) {
-  constexpr std::size_t largest = 64;
-  event_scanner scanner(largest);
+  constexpr std::size_t max_event_bytes = 64;
+  event_scanner scanner(max_event_bytes);
   EXPECT_EQ(scanner.push("id: 1\n\nid: 2\n").output, "id: 1\n\n");
-  const std::string huge = "data: " + std::string(largest, 'x');
+  const std::string huge = "data: " + std::string(max_event_bytes, 'x');
   const scan_result got = scanner.push(huge);
   EXPECT_EQ(got.fault, stream_fault::too_large);
   EXPECT_EQ(got.output, "id: 2\n" + huge);
--- a/routing/include/trestlepost/routing/acceptance_estimator.h
+++ b/routing/include/trestlepost/routing/acceptance_estimator.h
@@ -22,7 +22,8 @@
   void record_rejected(const std::string& place, monotonic_time now);
 
   /// Returns the probability that `place` accepts the next request, in (0, 1].
-  double accept_probability(const std::string& place, monotonic_time now) const;
+  double acceptance_probability(const std::string& place,
+                                monotonic_time now) const;
 
   /// Removes all places for which `known` returns false.
   void retain(const std::function<bool(const std::string&)>& known);
--- a/routing/include/trestlepost/routing/cold_limiter.h
+++ b/routing/include/trestlepost/routing/cold_limiter.h
@@ -18,7 +18,7 @@
 
 /// Rate limit for requests to cold endpoints. The two gateways of a region with
 /// the highest rendezvous hash for an endpoint may send to it, each up to half
-/// of its limit.
+/// of the used share of its limit.
 class cold_limiter {
  public:
   static constexpr std::size_t senders_per_endpoint = 2;
--- a/routing/include/trestlepost/routing/completion_estimate.h
+++ b/routing/include/trestlepost/routing/completion_estimate.h
@@ -19,7 +19,7 @@
   std::chrono::milliseconds delay_to_others{0};
 };
 
-/// Returns the same estimate, starting later by `wait`.
+/// Returns the estimate `at` for a request that starts later by `wait`.
 completion_estimate delayed(completion_estimate at,
                             std::chrono::milliseconds wait);
 
@@ -36,9 +36,10 @@
 };
 
 /// Returns the value of a request that is worth `value` if accepted, given the
-/// probability `accept_probability` that it is accepted. Negative values are
-/// returned unchanged, so that a low chance does not improve them.
-double discounted_value(double value, double accept_probability);
+/// probability `acceptance_probability` that it is accepted. Negative values
+/// are returned unchanged, so that a low probability does not improve
+/// them.
+double discounted_value(double value, double acceptance_probability);
 
 /// Returns the expected share of a request's full value, from 0 to 1. It
 /// combines the probability that the first token meets the latency objective
@@ -47,9 +48,10 @@
                       const latency_requirements& wanted);
 
 /// Returns `expected_value` minus two costs: the time until the response is
-/// complete, during which streams break or miss their deadline, and the delay
-/// caused to other responses. Long responses are thereby sent to endpoints that
-/// decode fast, and long prompts to endpoints that decode few responses.
+/// complete, during which streams are interrupted or miss their deadline, and
+/// the delay caused to other responses. Long responses are thereby sent to
+/// endpoints that decode fast, and long prompts to endpoints that decode few
+/// responses.
 double net_value(const completion_estimate& at,
                  const latency_requirements& wanted);
 
--- a/routing/include/trestlepost/routing/crash_attribution.h
+++ b/routing/include/trestlepost/routing/crash_attribution.h
@@ -49,10 +49,10 @@
 
 /// Counts crashes by request. An endpoint runs up to some dozens of requests
 /// when one of them crashes it. A crash is therefore attributed only to those
-/// of its requests that have seen the most crashes, and does not count against
-/// a request that ran beside one with more crashes. A successful run clears all
-/// earlier crashes of a request, since a request that crashes endpoints does so
-/// on each run.
+/// of its requests that were running during the most crashes, and does not
+/// count against a request that ran alongside one with more crashes. A
+/// successful run clears all earlier crashes of a request, since a request that
+/// crashes endpoints does so on each run.
 ///
 /// The result does not depend on the order of reports or on duplicates, so all
 /// nodes that receive the same reports reach the same result.
--- a/routing/include/trestlepost/routing/engine_choice.h
+++ b/routing/include/trestlepost/routing/engine_choice.h
@@ -24,7 +24,7 @@
   /// Tokens copied from another endpoint's cache, as a share of the prompt.
   double copied_share = 0;
   /// Probability that the endpoint accepts the request.
-  double accept_probability = 1;
+  double acceptance_probability = 1;
 };
 
 /// Returns the index of the best candidate, or nothing if `all` is empty.
--- a/routing/include/trestlepost/routing/placement.h
+++ b/routing/include/trestlepost/routing/placement.h
@@ -25,9 +25,12 @@
   std::vector<std::string> permits;
 };
 
+/// The regions that may serve a request, and the policies of the matching
+/// rules.
 struct placement {
   std::vector<std::string> permitted;  // sorted by name
   std::string home;                    // one of `permitted`
+  /// Added to the cost of each region other than `home`.
   std::chrono::milliseconds away_penalty{0};
   config::transit_policy transit = config::transit_policy::allow;
   std::vector<rule_trace> trace;
--- a/routing/include/trestlepost/routing/region_choice.h
+++ b/routing/include/trestlepost/routing/region_choice.h
@@ -29,8 +29,8 @@
 };
 
 struct region_request {
-  std::string own_region;
-  /// False: only the own region may serve it (isolated node).
+  std::string local_region;
+  /// False: only the local region may serve it (isolated node).
   bool may_leave_region = true;
   /// True: only the home region may serve it, since its ledger holds the
   /// record.
--- a/routing/src/acceptance_estimator.cc
+++ b/routing/src/acceptance_estimator.cc
@@ -44,8 +44,8 @@
   outcomes_at(place, now).rejected += 1;
 }
 
-double acceptance_estimator::accept_probability(const std::string& place,
-                                                monotonic_time now) const {
+double acceptance_estimator::acceptance_probability(const std::string& place,
+                                                    monotonic_time now) const {
   const auto found = places_.find(place);
   if (found == places_.end()) return 1;
   const outcomes it = decayed(found->second, now);
--- a/routing/src/completion_estimate.cc
+++ b/routing/src/completion_estimate.cc
@@ -13,13 +13,13 @@
 constexpr double on_time_ratio = 0.7;
 constexpr double late_ratio = 1.2;
 constexpr double complete_ratio = 0.7;
-constexpr double cut_off_ratio = 1.3;
+constexpr double incomplete_ratio = 1.3;
 // Value of a late response, as a share of the value of one on time.
 constexpr double late_response_value = 0.3;
 
 // Cost of each second until the response is complete, as a share of its value:
-// some streams break or miss their deadline, and an engine that decodes many
-// responses prefills the next prompts later.
+// some streams are interrupted or miss their deadline, and an engine that
+// decodes many responses prefills the next prompts later.
 constexpr double completion_cost_per_second = 0.04;
 
 // Gain at which all requests are sent away, as a share of a request's value.
@@ -52,11 +52,11 @@
 
 std::chrono::milliseconds slot_wait(double load, unsigned slots,
                                     std::chrono::milliseconds slot_time) {
-  const double most = std::max(1U, slots);
+  const double slot_count = std::max(1U, slots);
   // Slots that must become free before this request gets one.
-  const double ahead = load + 1 - most;
+  const double ahead = load + 1 - slot_count;
   if (ahead <= 0) return std::chrono::milliseconds(0);
-  const double ms = ahead / most * static_cast<double>(slot_time.count());
+  const double ms = ahead / slot_count * static_cast<double>(slot_time.count());
   return std::chrono::milliseconds(static_cast<std::int64_t>(ms));
 }
 
@@ -64,21 +64,21 @@
                       const latency_requirements& wanted) {
   const double on_time = probability_within(
       at.first_token, wanted.latency_objective, on_time_ratio, late_ratio);
-  const double whole = probability_within(at.finish, wanted.remaining,
-                                          complete_ratio, cut_off_ratio);
-  return (late_response_value + (1 - late_response_value) * on_time) * whole;
+  const double complete = probability_within(at.finish, wanted.remaining,
+                                             complete_ratio, incomplete_ratio);
+  return (late_response_value + (1 - late_response_value) * on_time) * complete;
 }
 
 double net_value(const completion_estimate& at,
                  const latency_requirements& wanted) {
-  const double whole =
+  const double remaining_share =
       std::max(0.0, 1 - completion_cost_per_second * seconds(at.finish));
-  return expected_value(at, wanted) * whole -
+  return expected_value(at, wanted) * remaining_share -
          completion_cost_per_second * seconds(at.delay_to_others);
 }
 
-double discounted_value(double value, double accept_probability) {
-  return value > 0 ? value * accept_probability : value;
+double discounted_value(double value, double acceptance_probability) {
+  return value > 0 ? value * acceptance_probability : value;
 }
 
 double spill_share(double home, double away) {
--- a/routing/src/engine_choice.cc
+++ b/routing/src/engine_choice.cc
@@ -20,7 +20,7 @@
   const double wait =
       static_cast<double>(it.expected.first_token.count()) / objective;
   return discounted_value(net_value(it.expected, wanted),
-                          it.accept_probability) -
+                          it.acceptance_probability) -
          duplicate_prefill_cost * it.duplicate_prefill -
          copy_cost * it.copied_share - wait_cost * wait;
 }
--- a/routing/src/previous_homes.cc
+++ b/routing/src/previous_homes.cc
@@ -80,15 +80,15 @@
                                         const std::string& present_home,
                                         wall_time now) {
   std::vector<std::string> out;
-  const std::deque<config::replaced_spec>& former = store.replaced_specs();
+  const std::deque<config::replaced_spec>& replaced = store.replaced_specs();
   earlier_objects earlier(store, caller, service);
   bool changed = false;
-  for (auto it = former.rbegin(); it != former.rend(); ++it) {
+  for (auto it = replaced.rbegin(); it != replaced.rend(); ++it) {
     if (it->replaced_at + service.key_window < now) break;
     changed = earlier.undo(*it) || changed;
     const auto older = std::next(it);
     const bool change_ends =
-        older == former.rend() || older->replaced_at != it->replaced_at;
+        older == replaced.rend() || older->replaced_at != it->replaced_at;
     if (!changed || !change_ends) continue;
     changed = false;
     const std::optional<std::string> home = earlier.home(request_labels);
--- a/routing/src/region_choice.cc
+++ b/routing/src/region_choice.cc
@@ -22,13 +22,13 @@
                                  const placement& placed,
                                  const region_view* view,
                                  const region_request& request, policy kind) {
-  const bool own = region == request.own_region;
-  if (!own && !request.may_leave_region) return "this node is isolated";
+  const bool is_local = region == request.local_region;
+  if (!is_local && !request.may_leave_region) return "this node is isolated";
   const bool home_only = request.bound_to_home || kind == policy::home_only;
   if (home_only && region != placed.home)
     return "only the home region may serve it";
   if (view == nullptr) return "its state is unknown";
-  if (!own && !view->reachable) return "none of its gateways is reachable";
+  if (!is_local && !view->reachable) return "none of its gateways is reachable";
   if (!view->has_endpoints) return "no usable endpoint of the service";
   return {};
 }
@@ -38,7 +38,7 @@
                      const region_choice_options& options) {
   milliseconds cost = view.wait;
   if (options.kind == policy::least_load) return cost;
-  if (region != request.own_region) cost += view.round_trip;
+  if (region != request.local_region) cost += view.round_trip;
   if (region != placed.home) cost += options.cold_cost + placed.away_penalty;
   return cost;
 }
--- a/routing/test/acceptance_estimator-test.cc
+++ b/routing/test/acceptance_estimator-test.cc
@@ -20,27 +20,27 @@
 
 TEST(acceptance_estimator_test, a_place_without_outcomes_is_trusted) {
   const acceptance_estimator it;
-  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 1);
+  EXPECT_DOUBLE_EQ(it.acceptance_probability("e1", start), 1);
 }
 
 TEST(acceptance_estimator_test,
      rejections_lower_the_probability_and_it_recovers) {
   acceptance_estimator it;
   it.record_rejected("e1", start);
-  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 0.5);
+  EXPECT_DOUBLE_EQ(it.acceptance_probability("e1", start), 0.5);
   it.record_rejected("e1", start);
-  EXPECT_NEAR(it.accept_probability("e1", start), 1.0 / 3, 1e-9);
+  EXPECT_NEAR(it.acceptance_probability("e1", start), 1.0 / 3, 1e-9);
   it.record_accepted("e1", start);
-  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 0.5);
-  EXPECT_GT(it.accept_probability("e1", start + seconds(15)), 0.95);
-  EXPECT_DOUBLE_EQ(it.accept_probability("e2", start), 1);
+  EXPECT_DOUBLE_EQ(it.acceptance_probability("e1", start), 0.5);
+  EXPECT_GT(it.acceptance_probability("e1", start + seconds(15)), 0.95);
+  EXPECT_DOUBLE_EQ(it.acceptance_probability("e2", start), 1);
 }
 
 TEST(acceptance_estimator_test, removed_places_lose_their_outcomes) {
   acceptance_estimator it;
   it.record_rejected("e1", start);
   it.retain([](const std::string& place) { return place != "e1"; });
-  EXPECT_DOUBLE_EQ(it.accept_probability("e1", start), 1);
+  EXPECT_DOUBLE_EQ(it.acceptance_probability("e1", start), 1);
 }
 
 // Twelve endpoints, seven of which reject every request immediately for six
@@ -50,9 +50,9 @@
 struct rejecting_region {
   static constexpr int endpoints = 12;
   static constexpr int rejecting = 7;
-  static constexpr milliseconds between{1000 / 60};
-  static constexpr milliseconds hold{300};
-  static constexpr milliseconds each{40};  // wait time per running request
+  static constexpr milliseconds request_interval{1000 / 60};
+  static constexpr milliseconds run_time{300};
+  static constexpr milliseconds wait_per_request{40};
 
   std::vector<std::vector<monotonic_time>> ends =
       std::vector<std::vector<monotonic_time>>(endpoints);
@@ -60,7 +60,7 @@
   milliseconds wait(int endpoint, monotonic_time now) {
     std::erase_if(ends[endpoint],
                   [now](monotonic_time end) { return end <= now; });
-    return each * static_cast<int>(ends[endpoint].size());
+    return wait_per_request * static_cast<int>(ends[endpoint].size());
   }
 };
 
@@ -72,7 +72,7 @@
   const latency_requirements wanted{milliseconds(800), seconds(3)};
   int taken = 0;
   for (int n = 0; n < requests; ++n) {
-    const monotonic_time now = start + n * rejecting_region::between;
+    const monotonic_time now = start + n * rejecting_region::request_interval;
     std::vector<engine_candidate> all;
     for (int e = 0; e < rejecting_region::endpoints; ++e) {
       engine_candidate one;
@@ -81,8 +81,8 @@
       one.expected.first_token = one.expected.wait + milliseconds((n + e) % 30);
       one.expected.finish = one.expected.first_token + milliseconds(200);
       if (use_estimates)
-        one.accept_probability =
-            known.accept_probability(std::to_string(e), now);
+        one.acceptance_probability =
+            known.acceptance_probability(std::to_string(e), now);
       all.push_back(one);
     }
     const int chosen = static_cast<int>(*choose_engine(all, wanted));
@@ -91,7 +91,7 @@
       continue;
     }
     known.record_accepted(std::to_string(chosen), now);
-    region.ends[chosen].push_back(now + rejecting_region::hold);
+    region.ends[chosen].push_back(now + rejecting_region::run_time);
     ++taken;
   }
   return static_cast<double>(taken) / requests;
@@ -106,7 +106,7 @@
 TEST(engine_choice_test, a_likely_rejection_outweighs_a_shorter_wait) {
   const latency_requirements wanted{milliseconds(800), seconds(3)};
   engine_candidate idle;
-  idle.accept_probability = 0.5;
+  idle.acceptance_probability = 0.5;
   engine_candidate busy;
   busy.expected.first_token = milliseconds(300);
   EXPECT_EQ(choose_engine({idle, busy}, wanted), 1U);
--- a/routing/test/choice-test.cc
+++ b/routing/test/choice-test.cc
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(region_choice_test, an_isolated_node_uses_its_own_region_only) {
+TEST(region_choice_test, an_isolated_node_uses_the_local_region_only) {
   const std::vector<region_candidate> ranked = rank_regions(
       two_regions(milliseconds(0)), {view("isola", 90000), view("golfo", 0)},
       {"isola", false, false, 0}, {});
@@ -184,7 +184,8 @@
   EXPECT_FALSE(budget.try_take());
 }
 
-TEST(retry_budget_test, an_outage_adds_at_most_a_tenth) {
+TEST(retry_budget_test,
+     an_outage_adds_retries_for_at_most_a_tenth_of_the_requests) {
   retry_budget budget;
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
--- a/routing/test/crash_simulation-test.cc
+++ b/routing/test/crash_simulation-test.cc
@@ -11,8 +11,9 @@
 // For tests in which a mechanism is disabled.
 constexpr int reduced_seeds = 3;
 constexpr int max_late_sends = 3;
-// Limit for harmless requests. Those that ran beside a crash are retried, and
-// may be hit again while dozens of endpoints crash.
+// Limit of held harmless requests, as a share of all harmless ones. A request
+// that ran on a crashing endpoint is retried, and may run on further ones while
+// dozens of endpoints crash.
 constexpr double max_held_share = 0.001;
 
 /// Returns the worst result of several seeds, and the sums of harmless
@@ -102,7 +103,8 @@
   expect_within_limits(it);
 }
 
-// The checks detect each disabled mechanism.
+// The following tests disable one mechanism each and expect that its limit is
+// exceeded.
 TEST(crash_simulation, without_holds_too_many_lethal_requests_are_sent) {
   crash_scenario it;
   it.endpoints = 10;
--- a/routing/test/crash_simulation.cc
+++ b/routing/test/crash_simulation.cc
@@ -275,13 +275,14 @@
         proposed_.insert(proposal.fingerprint);
       }
     }
-    // The leader proposes every request that any control node found.
+    // The leader holds every request that any control node proposes.
     for (const std::string& it : proposed_) {
       if (held_in_log_.insert(it).second) apply_change(it, true);
     }
   }
 
-  /// Applies a change at all gateways; it takes two round trips to take effect.
+  /// Applies a change at all gateways. It reaches each one after three message
+  /// delays.
   void apply_change(const std::string& fingerprint, bool hold) {
     for (gateway& it : gateways_) {
       at(now_ + delay() + delay() + delay(), [&it, fingerprint, hold] {
--- a/surface/include/trestlepost/surface/call_head.h
+++ b/surface/include/trestlepost/surface/call_head.h
@@ -13,8 +13,8 @@
 
 namespace trestlepost::surface {
 
-/// A run of prompt tokens. Prompts that start with the same parts can share the
-/// engine's prefix cache for them.
+/// A sequence of prompt tokens. Prompts that start with the same parts can
+/// share the engine's prefix cache for them.
 struct prompt_part {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
@@ -22,7 +22,7 @@
   bool operator==(const prompt_part&) const = default;
 };
 
-/// What a caller states about the prompt and the output of a model call.
+/// The prompt and the output of a model call, as described by its caller.
 struct prompt_outline {
   // in order; the last one is specific to the request
   std::vector<prompt_part> parts;
@@ -43,7 +43,7 @@
   /// Time for which the caller waits for the response.
   std::optional<std::chrono::milliseconds> caller_timeout;
   prompt_outline prompt;
-  /// Id of the last event that the caller received of a broken stream, or
+  /// Id of the last event that the caller received of an interrupted stream, or
   /// empty.
   std::string resume_after;
   /// Headers that are passed to the endpoint unchanged. Contains no hop-by-hop
--- a/surface/include/trestlepost/surface/operators_surface.h
+++ b/surface/include/trestlepost/surface/operators_surface.h
@@ -12,12 +12,14 @@
 
 enum class order_kind { replace_plan, read_plan, evacuate, end_evacuation };
 
+/// An operator's call that reads or changes the configuration.
 struct operator_order {
   order_kind kind = order_kind::read_plan;
   config::plan_ptr plan;          // for replace_plan; not validated yet
   std::string availability_zone;  // for evacuate and end_evacuation
 };
 
+/// Parses operators' calls and formats their responses.
 class operators_surface {
  public:
   virtual ~operators_surface() = default;
--- a/surface/src/call_head.cc
+++ b/surface/src/call_head.cc
@@ -42,7 +42,7 @@
 
 tl::unexpected<error> invalid_head(const std::string& what) {
   return fail(error_kind::bad_input, what,
-              "run the same version of trestlepostd on all nodes");
+              "run one version of trestlepostd on all nodes");
 }
 
 /// Parses alternating header names and values, as written by `to_json`.
--- a/surface/test/call_head-test.cc
+++ b/surface/test/call_head-test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(make_head().path(), "/x/1");
 }
 
-TEST(call_head_test, a_passed_header_is_found_by_any_case_of_its_name) {
+TEST(call_head_test, passthrough_headers_are_found_regardless_of_case) {
   EXPECT_EQ(make_head().passthrough_header("x-b"), "two, three");
   EXPECT_EQ(make_head().passthrough_header("X-C"), "");
 }
@@ -66,8 +66,8 @@
       {"an object as the value", R"(["X-A",{}])"},
       {"a list as the name", R"([[],"1"])"},
       {"null as the value", R"(["X-A",null])"},
-      {"cut inside the second pair", R"(["X-A","1","X-B"])"},
-      {"sound, then unsound", R"(["X-A","1","X-B",[]])"},
+      {"truncated in the second pair", R"(["X-A","1","X-B"])"},
+      {"a valid pair, then an invalid one", R"(["X-A","1","X-B",[]])"},
   };
   for (const headers_example& it : table) {
     json value = to_json(make_head());
