--- a/gateway/test/event_scanner-test.cc
+++ b/gateway/test/event_scanner-test.cc
@@ -173,8 +173,7 @@
   EXPECT_EQ(got.fault, stream_fault::too_large);
 }
 
-// A stream that every endpoint can continue after any event.
-
+/// An event of a generated stream.
 struct made_event {
   std::uint64_t id = 0;
   bool has_id = true;
@@ -234,7 +233,7 @@
 
 RC_GTEST_PROP(event_scanner_test, an_interrupted_stream_arrives_complete, ()) {
   const std::vector<made_event> all = make_stream(true);
-  const std::string whole = text_after(all, "");
+  const std::string full_text = text_after(all, "");
   event_scanner scanner;
   std::string passed;
   const int breaks = *rc::gen::inRange(0, 4);
@@ -242,7 +241,7 @@
     const std::string rest = text_after(all, scanner.resume_point());
     const std::size_t cut = *rc::gen::inRange<std::size_t>(0, rest.size() + 1);
     passed += push_in_pieces(scanner, rest.substr(0, cut));
-    RC_ASSERT(passed == whole.substr(0, passed.size()));
+    RC_ASSERT(passed == full_text.substr(0, passed.size()));
     // Before the first event, the request is sent again from the start.
     if (scanner.resume_point().empty())
       scanner = event_scanner();
@@ -251,16 +250,17 @@
   }
   passed += push_in_pieces(scanner, text_after(all, scanner.resume_point()));
   passed += scanner.finish().output;
-  RC_ASSERT(passed == whole);
+  RC_ASSERT(passed == full_text);
 }
 
 RC_GTEST_PROP(event_scanner_test, the_resume_point_is_the_last_event_passed,
               ()) {
   const std::vector<made_event> all = make_stream(false);
-  const std::string whole = text_after(all, "");
-  const std::size_t cut = *rc::gen::inRange<std::size_t>(0, whole.size() + 1);
+  const std::string full_text = text_after(all, "");
+  const std::size_t cut =
+      *rc::gen::inRange<std::size_t>(0, full_text.size() + 1);
   event_scanner scanner;
-  const std::string passed = push_in_pieces(scanner, whole.substr(0, cut));
+  const std::string passed = push_in_pieces(scanner, full_text.substr(0, cut));
   std::string expected;
   std::string last;
   for (const made_event& it : all) {
--- a/routing/test/completion_estimate-test.cc
+++ b/routing/test/completion_estimate-test.cc
@@ -20,7 +20,7 @@
 }
 
 TEST(completion_estimate_test,
-     a_late_response_has_some_value_and_a_cut_off_one_none) {
+     a_late_response_has_some_value_and_an_incomplete_one_none) {
   const double late = expected_value(
       {milliseconds(0), milliseconds(2000), milliseconds(5000)}, wanted);
   EXPECT_NEAR(late, 0.3, 1e-9);
@@ -52,7 +52,7 @@
   EXPECT_NEAR(net_value(fast, wanted) - net_value(slow, wanted), 0.16, 1e-9);
 }
 
-TEST(completion_estimate_test, delay_to_other_responses_is_worth_less) {
+TEST(completion_estimate_test, delaying_other_responses_lowers_the_net_value) {
   completion_estimate alone{milliseconds(0), milliseconds(500),
                             milliseconds(2000)};
   completion_estimate crowded = alone;
