--- a/gateway/test/event_scanner-test.cc
+++ b/gateway/test/event_scanner-test.cc
@@ -71,10 +71,11 @@
     for (std::size_t cut = 0; cut <= all.size(); ++cut) {
       event_scanner scanner;
       const std::string first = scanner.push(all.substr(0, cut)).output;
-      std::size_t whole = 0;
-      for (const std::size_t it : ends) whole = it <= cut ? it : whole;
-      EXPECT_EQ(first, all.substr(0, whole)) << cut;
-      EXPECT_EQ(scanner.is_incomplete(), whole != cut) << cut;
+      std::size_t complete_size = 0;
+      for (const std::size_t it : ends)
+        complete_size = it <= cut ? it : complete_size;
+      EXPECT_EQ(first, all.substr(0, complete_size)) << cut;
+      EXPECT_EQ(scanner.is_incomplete(), complete_size != cut) << cut;
       const std::string rest = scanner.push(all.substr(cut)).output;
       EXPECT_EQ(first + rest, all) << cut;
       EXPECT_EQ(scanner.resume_point(), "10") << cut;
@@ -85,10 +86,10 @@
 
 TEST(event_scanner_test,
      an_oversized_event_is_passed_on_without_a_resume_point) {
-  constexpr std::size_t largest = 64;
-  event_scanner scanner(largest);
+  constexpr std::size_t max_event_bytes = 64;
+  event_scanner scanner(max_event_bytes);
   EXPECT_EQ(scanner.push("id: 1\n\nid: 2\n").output, "id: 1\n\n");
-  const std::string huge = "data: " + std::string(largest, 'x');
+  const std::string huge = "data: " + std::string(max_event_bytes, 'x');
   const scan_result got = scanner.push(huge);
   EXPECT_EQ(got.fault, stream_fault::too_large);
   EXPECT_EQ(got.output, "id: 2\n" + huge);
@@ -172,8 +173,7 @@
   EXPECT_EQ(got.fault, stream_fault::too_large);
 }
 
-// A stream that every endpoint can continue after any event.
-
+/// An event of a generated stream.
 struct made_event {
   std::uint64_t id = 0;
   bool has_id = true;
@@ -233,7 +233,7 @@
 
 RC_GTEST_PROP(event_scanner_test, an_interrupted_stream_arrives_complete, ()) {
   const std::vector<made_event> all = make_stream(true);
-  const std::string whole = text_after(all, "");
+  const std::string full_text = text_after(all, "");
   event_scanner scanner;
   std::string passed;
   const int breaks = *rc::gen::inRange(0, 4);
@@ -241,7 +241,7 @@
     const std::string rest = text_after(all, scanner.resume_point());
     const std::size_t cut = *rc::gen::inRange<std::size_t>(0, rest.size() + 1);
     passed += push_in_pieces(scanner, rest.substr(0, cut));
-    RC_ASSERT(passed == whole.substr(0, passed.size()));
+    RC_ASSERT(passed == full_text.substr(0, passed.size()));
     // Before the first event, the request is sent again from the start.
     if (scanner.resume_point().empty())
       scanner = event_scanner();
@@ -250,16 +250,17 @@
   }
   passed += push_in_pieces(scanner, text_after(all, scanner.resume_point()));
   passed += scanner.finish().output;
-  RC_ASSERT(passed == whole);
+  RC_ASSERT(passed == full_text);
 }
 
 RC_GTEST_PROP(event_scanner_test, the_resume_point_is_the_last_event_passed,
               ()) {
   const std::vector<made_event> all = make_stream(false);
-  const std::string whole = text_after(all, "");
-  const std::size_t cut = *rc::gen::inRange<std::size_t>(0, whole.size() + 1);
+  const std::string full_text = text_after(all, "");
+  const std::size_t cut =
+      *rc::gen::inRange<std::size_t>(0, full_text.size() + 1);
   event_scanner scanner;
-  const std::string passed = push_in_pieces(scanner, whole.substr(0, cut));
+  const std::string passed = push_in_pieces(scanner, full_text.substr(0, cut));
   std::string expected;
   std::string last;
   for (const made_event& it : all) {
