--- a/base/src/json_elements.cc
+++ b/base/src/json_elements.cc
@@ -14,12 +14,13 @@
 constexpr std::size_t max_element_bytes = 16UL * 1024;
 // Maximum number of unreadable objects before the whole document is rejected,
 // since each costs a scan of up to `max_element_bytes` bytes.
-constexpr std::size_t max_unreadable_places = 256;
+constexpr std::size_t max_unreadable_objects = 256;
 
 constexpr std::string_view blanks = " \t\r\n";
 
 tl::unexpected<error> unreadable(const std::string& what) {
-  return fail(error_kind::bad_input, what, "check who writes the list");
+  return fail(error_kind::bad_input, what,
+              "check which program writes the list");
 }
 
 /// Returns the offset after the object that starts at `begin`, or npos if its
@@ -95,9 +96,10 @@
                                              const char* list,
                                              const char* id_key) {
   std::size_t at = begin_of_list(text, list);
-  if (at == std::string_view::npos) return unreadable("there is no list");
+  if (at == std::string_view::npos)
+    return unreadable("the document has no such list");
   json_elements out;
-  std::size_t unreadable_places = 0;
+  std::size_t unreadable_objects = 0;
   bool after_unreadable = false;
   while ((at = text.find('{', at)) != std::string_view::npos) {
     std::optional<found_element> found = element_at(text, at, id_key);
@@ -107,7 +109,7 @@
       after_unreadable = false;
       continue;
     }
-    if (++unreadable_places > max_unreadable_places) {
+    if (++unreadable_objects > max_unreadable_objects) {
       return unreadable("most of the list is unreadable");
     }
     // Adjacent unreadable objects, which may be nested, are reported as one.
@@ -127,7 +129,7 @@
   result<json> document = is_utf8(text) ? parse_json(text) : unreadable("");
   if (!document) return find_readable_elements(text, list, id_key);
   if (!member_of(*document, list).isArray()) {
-    return unreadable("there is no list");
+    return unreadable("the document has no such list");
   }
   json_elements out;
   out.well_formed = true;
@@ -154,7 +156,7 @@
   if (!parsed) return tl::make_unexpected(parsed.error());
   const json& value = member_of(*parsed, std::string(key).c_str());
   if (value.isString() || value.isNull()) return value;
-  return unreadable(std::string(key) + " is not a text");
+  return unreadable(std::string(key) + " is neither a string nor null");
 }
 
 }  // namespace trestlepost
--- a/base/test/compression-test.cc
+++ b/base/test/compression-test.cc
@@ -1,3 +1,5 @@
+// Tests that compressed texts are restored and that damaged or oversized input
+// is rejected.
 #include "trestlepost/base/compression.h"
 
 #include <gtest/gtest.h>
--- a/base/test/json_document-test.cc
+++ b/base/test/json_document-test.cc
@@ -1,3 +1,5 @@
+// Tests that the arena-based JSON parser reads every value type and is as
+// strict as `parse_json`.
 #include "trestlepost/base/json_document.h"
 
 #include <gtest/gtest.h>
--- a/base/test/json_elements-test.cc
+++ b/base/test/json_elements-test.cc
@@ -1,3 +1,4 @@
+// Tests reading the elements of a list from valid and malformed JSON documents.
 #include "trestlepost/base/json_elements.h"
 
 #include <gtest/gtest.h>
--- a/base/test/log_writer-test.cc
+++ b/base/test/log_writer-test.cc
@@ -1,3 +1,5 @@
+// Tests that logging neither blocks on a stalled reader nor truncates lines,
+// and that each event has its own rate limit.
 #include "trestlepost/base/log_writer.h"
 
 #include <fcntl.h>
--- a/base/test/object_reader-test.cc
+++ b/base/test/object_reader-test.cc
@@ -1,3 +1,5 @@
+// Tests parsing of durations and JSON documents, and the problems reported for
+// invalid members.
 #include "trestlepost/base/object_reader.h"
 
 #include <gtest/gtest.h>
--- a/base/test/text_delta-test.cc
+++ b/base/test/text_delta-test.cc
@@ -1,3 +1,5 @@
+// Tests that deltas restore the new text, are short, and are rejected if
+// malformed.
 #include "trestlepost/base/text_delta.h"
 
 #include <gtest/gtest.h>
--- a/base/test/utf8-test.cc
+++ b/base/test/utf8-test.cc
@@ -1,3 +1,4 @@
+// Tests the checks for UTF-8, printable text and visible ASCII.
 #include "trestlepost/base/utf8.h"
 
 #include <gtest/gtest.h>
--- a/bench/measure/config.cc
+++ b/bench/measure/config.cc
@@ -1,3 +1,5 @@
+// Measures configuration changes (rate, latency, propagation, failover,
+// restart) and the traffic and CPU use of nodes without requests.
 #include <cstdio>
 #include <thread>
 
@@ -22,7 +24,7 @@
       .count();
 }
 
-/// Latency and rate of sequential changes at the leader.
+/// Measures the latency and rate of sequential changes at the leader.
 void measure_changes(test::cluster& it, int changes) {
   const std::string leader = it.leader();
   std::vector<double> latencies;
@@ -40,7 +42,7 @@
       bench::quantile(latencies, 0.99));
 }
 
-/// Time from sending a change until all nodes have its revision.
+/// Measures the time from sending a change until all nodes have its revision.
 void measure_propagation(unsigned delay_ms) {
   test::cluster_options options;
   options.delay_ms = delay_ms;
@@ -67,7 +69,8 @@
       delay_ms, bench::quantile(times, 0.5), bench::quantile(times, 1));
 }
 
-/// Milliseconds from the leader's fault until a change is accepted again.
+/// Returns the milliseconds from the leader's fault until a change is accepted
+/// again.
 double time_without_leader(test::cluster& it, bool freeze) {
   const std::string leader = it.leader();
   std::string other;
--- a/bench/measure/measure.h
+++ b/bench/measure/measure.h
@@ -4,19 +4,21 @@
 
 namespace trestlepost::measure {
 
-/// Latency that a gateway adds, its CPU use by request rate, its memory.
+/// Measures the latency that a gateway adds, its CPU use by request rate and
+/// its memory.
 int measure_overhead();
 
-/// Configuration changes: rate, latency, time until in force on all nodes, time
-/// without a leader, restart time.
+/// Measures configuration changes: rate, latency, time until they are in force
+/// on all nodes, time without a leader and restart time. Includes
+/// `measure_idle`.
 int measure_config();
 
-/// Peer traffic and CPU use of nodes without requests, at rest and with one
-/// change per second, at the default timing.
+/// Measures the peer traffic and CPU use of nodes without requests, at rest and
+/// with one change per second, at the default timing.
 int measure_idle();
 
-/// Region policies compared under load and faults; a run for each seed from 1
-/// to `repeats`.
+/// Compares region policies under load and faults, in one run for each seed
+/// from 1 to `repeats`.
 int measure_policy(unsigned repeats);
 
 }  // namespace trestlepost::measure
--- a/bench/measure/overhead.cc
+++ b/bench/measure/overhead.cc
@@ -1,3 +1,5 @@
+// Measures the latency that a gateway adds to plain and streamed requests, its
+// CPU use and its memory.
 #include <cstdio>
 
 #include "cluster.h"
--- a/bench/measure/policy.cc
+++ b/bench/measure/policy.cc
@@ -1,3 +1,5 @@
+// Compares region policies under steady load, overload and the loss of one
+// region's endpoints.
 #include <cstdio>
 #include <thread>
 
@@ -19,7 +21,7 @@
 constexpr double total_capacity = 3 * region_capacity;
 constexpr unsigned run_seconds = 10;
 
-/// Streamed model calls of one caller through `node`.
+/// Returns a class of streamed model calls of one caller through `node`.
 load_class make_model_class(test::cluster& it, const std::string& name,
                             const std::string& node, const std::string& caller,
                             const std::string& home, double rate) {
@@ -39,7 +41,8 @@
   return out;
 }
 
-/// Uneven load: 55 % enters in isola, 30 % in stretto, 15 % in golfo.
+/// Returns an uneven load: 55 % enters in isola, 30 % in stretto, 15 % in
+/// golfo.
 load_options make_load(test::cluster& it, double share_of_capacity,
                        unsigned seed) {
   const double rate = share_of_capacity * total_capacity;
--- a/bench/src/caller.h
+++ b/bench/src/caller.h
@@ -37,14 +37,17 @@
   std::chrono::nanoseconds total{0};
 };
 
-/// Doesn't return errors: status 0 means that no answer was received.
+/// Sends the request and reads the answer. Doesn't return errors: status 0
+/// means that no answer was received.
 transport::awaitable<caller_answer> send(transport::http_client& client,
                                          caller_request request);
 
-/// Blocks until the answer is complete; uses an event loop of its own.
+/// Like `send`, but blocks until the answer has ended, on a separate event
+/// loop.
 caller_answer send_and_wait(const caller_request& request);
 
-/// Address of the first entry in the node's directory answer, or empty.
+/// Queries the entry directory at `address`. Returns the address of the first
+/// entry in the answer, or an empty string.
 std::string query_directory(const std::string& address,
                             const std::string& query);
 
--- a/bench/src/demo.h
+++ b/bench/src/demo.h
@@ -14,7 +14,7 @@
   std::string plain_path;
 };
 
-/// Exit status: 0 only if every answer is as expected.
+/// Returns the exit status: 0 only if every answer is as expected.
 int run_demo(const demo_options& options);
 
 }  // namespace trestlepost::bench
--- a/bench/src/endpoint.cc
+++ b/bench/src/endpoint.cc
@@ -51,8 +51,11 @@
 };
 
 /// Faults that a test injects with POST /stand-in/fault?NAME; an unknown name
-/// ends the fault. `crossed` answers for another attempt, `duplicate` logs a
-/// run twice.
+/// ends the fault. `fail` resets the connection before the run, `refuse`
+/// answers 503, `cut` resets the connection within a plain or streamed answer,
+/// `crossed` answers for another attempt, `hang` never answers, `duplicate`
+/// logs the start of a plain run twice, and `slow` makes plain runs and
+/// decoding ten times slower.
 enum class fault { none, fail, refuse, cut, crossed, hang, duplicate, slow };
 
 fault fault_from(std::string_view name) {
--- a/bench/src/load.cc
+++ b/bench/src/load.cc
@@ -23,7 +23,8 @@
 
 constexpr std::size_t characters_per_token = 4;
 
-/// A prompt that shares all but its last words with others of the same prefix.
+/// Returns a prompt that shares all but its last words with others of the same
+/// prefix.
 std::string make_prompt(const load_class& kind, std::uint64_t prefix,
                         std::uint64_t n) {
   std::string shared = kind.name + " prefix " + std::to_string(prefix) + " ";
--- a/bench/src/load.h
+++ b/bench/src/load.h
@@ -46,14 +46,14 @@
   std::uint64_t away = 0;  // good answers from another region than `home`
 };
 
-/// Nearest-rank quantile, `q` in [0, 1]; 0 without values.
+/// Returns the nearest-rank quantile for `q` in [0, 1], or 0 without values.
 double quantile(std::vector<double> values, double q);
 
 /// Blocks until all requests have ended; returns the results by class name.
 std::map<std::string, class_result> run_load(const load_options& options);
 
 /// Runs the load described by a file of JSON with comments and prints the
-/// results. Exit status: 2 if the file is invalid.
+/// results. Returns the exit status: 2 if the file is invalid.
 int run_load_file(const std::string& file, bool as_json);
 
 }  // namespace trestlepost::bench
--- a/bench/src/run_log.h
+++ b/bench/src/run_log.h
@@ -20,7 +20,8 @@
 /// without a file name.
 void append_run(const std::string& file, const run_record& record);
 
-/// All records of a file; incomplete lines are skipped.
+/// Returns all records of a file. Skips lines that are not valid JSON, such as
+/// an incomplete last one.
 std::vector<run_record> read_runs(const std::string& file);
 
 }  // namespace trestlepost::bench
--- a/ctl/src/client.cc
+++ b/ctl/src/client.cc
@@ -23,7 +23,7 @@
 
 error unreachable(const std::string& address, const std::string& why) {
   return {error_kind::unavailable, "node " + address + ": " + why,
-          "name a running node's operators' address with --node IP:PORT"};
+          "use --node IP:PORT with the operators' address of a running node"};
 }
 
 result<std::string> post(const std::string& address, const std::string& token,
--- a/own/src/entry_codec.cc
+++ b/own/src/entry_codec.cc
@@ -19,8 +19,8 @@
   return target.substr(0, target.find('?'));
 }
 
-/// Decodes percent escapes. Digits that aren't hexadecimal are not reported as
-/// an error.
+/// Decodes percent escapes. Invalid digits are not reported: an escape without
+/// a hexadecimal digit decodes to byte 0.
 std::string decode_query(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
--- a/own/test/caller_codec-test.cc
+++ b/own/test/caller_codec-test.cc
@@ -40,7 +40,7 @@
   EXPECT_FALSE(head->prompt.known());
 }
 
-TEST(caller_codec_test, forwards_only_two_headers) {
+TEST(caller_codec_test, forwards_only_content_type_and_idempotency_key) {
   const result<surface::call_head> head =
       caller_codec().read_head(make_exchange());
   ASSERT_TRUE(head);
--- a/own/test/request_options-test.cc
+++ b/own/test/request_options-test.cc
@@ -12,7 +12,7 @@
 
 using surface::test::fake_exchange;
 
-TEST(parse_labels_test, parses_pairs_and_rejects_the_rest) {
+TEST(parse_labels_test, parses_pairs_and_rejects_malformed_labels) {
   EXPECT_EQ(parse_labels("a=1, b=2")->at("b"), "2");
   EXPECT_TRUE(parse_labels("")->empty());
   EXPECT_EQ(parse_labels("a=1,")->size(), 1U);  // A trailing comma is accepted.
--- a/soak/src/main.cc
+++ b/soak/src/main.cc
@@ -65,8 +65,9 @@
   CLI::App app{"Injects seeded faults into a deployment of real nodes"};
   std::string seeds = "1";
   unsigned seconds = 20;
-  app.add_option("--seed,--seeds", seeds, "N, or A..B");
-  app.add_option("--seconds", seconds, "duration of the faults of each seed");
+  app.add_option("--seed,--seeds", seeds, "a seed N, or the seeds A..B");
+  app.add_option("--seconds", seconds,
+                 "duration of the faults of each seed, in seconds");
   CLI11_PARSE(app, argc, argv);
   seed_range range;
   if (!read_range(seeds, range)) {
--- a/soak/src/plan_record.h
+++ b/soak/src/plan_record.h
@@ -18,14 +18,15 @@
  public:
   explicit plan_record(violation_list& violations) : violations_(violations) {}
 
-  /// A plan number above all earlier ones.
+  /// Returns a plan number above all earlier ones.
   std::uint64_t next_number() { return ++last_number_; }
   /// Call it before the plan is sent, since a read may return it immediately.
   void record_sent(std::uint64_t number, const std::string& document);
   void record_acknowledged(std::uint64_t number);
-  /// Every plan sent is valid, so this is a violation.
+  /// Records that a plan was refused as invalid. Every plan sent is valid, so
+  /// this is a violation.
   void record_invalid(std::uint64_t number, const std::string& answer);
-  /// The highest acknowledged number.
+  /// Returns the highest acknowledged number.
   std::uint64_t newest_acknowledged() const { return acknowledged_; }
   /// Checks a complete answer of `node` to a read that started after
   /// `acknowledged_number` was acknowledged.
--- a/soak/src/request_record.cc
+++ b/soak/src/request_record.cc
@@ -5,7 +5,8 @@
 namespace trestlepost::soak {
 namespace {
 
-/// Whether the status guarantees that the request has not run and will not run.
+/// Returns whether the status guarantees that the request has not run and will
+/// not run.
 bool promises_not_run(unsigned status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
--- a/soak/src/schedule.cc
+++ b/soak/src/schedule.cc
@@ -28,7 +28,7 @@
     std::uniform_int_distribution<std::size_t> any(0, all.size() - 1);
     return all[any(engine_)];
   }
-  /// A random fault of one of `nodes` that begins after `from`.
+  /// Returns a random fault of one of `nodes` that begins after `from`.
   fault make_fault(const std::vector<std::string>& nodes,
                    const std::vector<fault_kind>& kinds, milliseconds from) {
     fault out;
--- a/soak/src/schedule.h
+++ b/soak/src/schedule.h
@@ -30,7 +30,7 @@
 struct schedule_options {
   std::vector<std::string> control_nodes;
   std::vector<std::string> entries;
-  std::chrono::milliseconds span{0};
+  std::chrono::milliseconds span{0};  // all faults begin within it
 };
 
 /// Returns the faults ordered by `begin`. At most one control node is faulty at
--- a/soak/src/soak_run.h
+++ b/soak/src/soak_run.h
@@ -12,7 +12,7 @@
 
 struct soak_options {
   std::uint64_t seed = 1;
-  std::chrono::milliseconds span{20'000};
+  std::chrono::milliseconds span{20'000};  // all faults begin within it
 };
 
 struct soak_result {
@@ -29,6 +29,8 @@
   std::string folder;
 };
 
+/// Runs the deployment under the faults of the seed and checks the guarantees
+/// for plans, requests and recovery.
 soak_result run_soak(const soak_options& options);
 
 }  // namespace trestlepost::soak
--- a/tests/test/bad-input-test.cc
+++ b/tests/test/bad-input-test.cc
@@ -53,7 +53,7 @@
        valid_body, 400, "bad-input"},
       {"unknown path", "/v2/none", "planner-token", "X", "x", valid_body, 404,
        "not-found"},
-      {"no path behind the service", "/v1/services/banco", "planner-token", "X",
+      {"no path after the service", "/v1/services/banco", "planner-token", "X",
        "x", valid_body, 404, "not-found"},
   };
   for (const call_case& one : cases) {
--- a/tests/test/cluster.h
+++ b/tests/test/cluster.h
@@ -23,8 +23,8 @@
   unsigned delay_ms = 5;   // one way, between regions, in ms
   unsigned endpoints = 2;  // model endpoints in each region
   double speed = 4;        // factor on the speed of the stand-ins
-  unsigned plain_ms = 20;
-  unsigned slots = 8;
+  unsigned plain_ms = 20;  // processing time of plain endpoints
+  unsigned slots = 8;      // concurrent runs of each endpoint
   std::string policy = "weighed";
   std::string away_penalty = "100 ms";
   unsigned election_timeout_ms = 400;
@@ -75,11 +75,12 @@
   json status(const std::string& node);
   std::uint64_t revision(const std::string& node);
   std::string state(const std::string& node);
-  /// The control node that leads the configuration group, or empty.
+  /// Returns the control node that leads the configuration group, or an empty
+  /// string.
   std::string leader();
   /// Waits until a control node leads; throws if none does in time.
   std::string wait_for_leader();
-  /// Read from the node's data folder; 0 if there is none.
+  /// Returns the incarnation in the node's data folder, or 0 if there is none.
   std::uint64_t incarnation(const std::string& node) const;
 
   bench::caller_request model_request(const std::string& node,
@@ -89,7 +90,8 @@
       const std::string& node, const std::string& caller,
       const std::string& key, const std::string& body = R"({"slot":"1"})");
 
-  /// Started runs in any region, by request id, by idempotency key, or all.
+  /// These return the started runs in any region: those of a request id, those
+  /// of an idempotency key, or all.
   std::vector<bench::run_record> runs_of(const std::string& request_id) const;
   std::vector<bench::run_record> runs_of_key(const std::string& key) const;
   std::vector<bench::run_record> all_runs() const;
@@ -99,14 +101,14 @@
   std::string address(const std::string& node, int port) const;
   std::string endpoint_address(const std::string& endpoint) const;
   const std::string& folder() const { return folder_; }
-  /// The end of a node's log, for failure messages.
+  /// Returns the end of a node's log, for failure messages.
   std::string log_of(const std::string& node) const;
 
-  /// CPU time used by a node.
+  /// Returns the CPU time used by a node.
   std::chrono::milliseconds cpu_time_of(const std::string& node) const;
-  /// Resident memory of a node, in bytes.
+  /// Returns the resident memory of a node, in bytes.
   std::uint64_t resident_bytes_of(const std::string& node) const;
-  /// Bytes sent by a node to its peers.
+  /// Returns the number of bytes that a node has sent to its peers.
   std::uint64_t peer_bytes_sent_by(const std::string& node);
 
  private:
--- a/tests/test/configuration-faults-test.cc
+++ b/tests/test/configuration-faults-test.cc
@@ -44,7 +44,8 @@
   return {};
 }
 
-/// Whether all three control nodes are voters with their current incarnation.
+/// Returns whether all three control nodes are voters with their current
+/// incarnation.
 bool all_control_nodes_vote(cluster& it) {
   const std::string leader = it.leader();
   if (leader.empty()) return false;
@@ -182,7 +183,7 @@
   EXPECT_TRUE(eventually([&] { return in_force_everywhere(it, "while-cut"); }));
 }
 
-/// "isola" of "isola-2".
+/// Returns the region of a node, such as "isola" for "isola-2".
 std::string region_of(const std::string& node) {
   return node.substr(0, node.find('-'));
 }
--- a/tests/test/held-requests-test.cc
+++ b/tests/test/held-requests-test.cc
@@ -16,8 +16,8 @@
 /// Time between the crash of an endpoint and its restart.
 constexpr std::chrono::milliseconds restart_delay{1000};
 
-/// A long-running request of a caller that is bound to golfo. Requests differ
-/// only in their id, so that they have the same fingerprint.
+/// Makes a long-running request of a caller that is bound to golfo. Requests
+/// differ only in their id, so that they have the same fingerprint.
 caller_request long_request(cluster& it, const std::string& node) {
   caller_request out = it.model_request(node, "mainland");
   json body = *parse_json(out.body);
@@ -26,7 +26,8 @@
   return out;
 }
 
-/// The endpoint that runs the request, or empty if none starts it in time.
+/// Returns the endpoint that runs the request, or an empty string if none
+/// starts it within 3 s.
 std::string runner_of(const cluster& it, const std::string& request_id) {
   std::string out;
   eventually(
--- a/tests/test/loopback_range.h
+++ b/tests/test/loopback_range.h
@@ -16,7 +16,8 @@
   loopback_range(const loopback_range&) = delete;
   loopback_range& operator=(const loopback_range&) = delete;
 
-  /// Returns the address; `kind` is 1 to 9.
+  /// Returns an address of the range. `kind`, from 1 to 9, separates uses such
+  /// as nodes, endpoints and relay.
   std::string ip(int region, int kind, int number) const;
 
  private:
--- a/tests/test/process.h
+++ b/tests/test/process.h
@@ -26,9 +26,9 @@
   /// Waits for the exit; returns the status, or 128 plus the signal's number.
   int wait();
   bool running();
-  /// User and system time.
+  /// Returns the user and system time that the process has used.
   std::chrono::milliseconds cpu_time() const;
-  /// Resident memory in bytes.
+  /// Returns the resident memory in bytes.
   std::uint64_t resident_bytes() const;
 
  private:
--- a/tests/test/run-once-test.cc
+++ b/tests/test/run-once-test.cc
@@ -16,8 +16,8 @@
   return text_of(member_of(now, "ledger"), "leader");
 }
 
-/// The incarnation of a voter of isola's ledger, or 0 unless all three nodes of
-/// the region are voters.
+/// Returns the incarnation of a voter of isola's ledger, or 0 unless all three
+/// nodes of the region are voters.
 std::uint64_t voting_incarnation(cluster& it, const std::string& name) {
   const json now = it.status("isola-1");
   const json members = member_of(member_of(now, "ledger"), "members");
--- a/tests/test/suspension-test.cc
+++ b/tests/test/suspension-test.cc
@@ -55,9 +55,9 @@
 }
 
 /// A peer that accepts requests and does not answer.
-class silent_handler final : public transport::http_handler {
+class unresponsive_handler final : public transport::http_handler {
  public:
-  explicit silent_handler(transport::asio::io_context& io) : io_(io) {}
+  explicit unresponsive_handler(transport::asio::io_context& io) : io_(io) {}
 
   transport::awaitable<void> handle(
       transport::http_exchange& exchange) override {
@@ -113,7 +113,7 @@
   const loopback_range range;
   constexpr int region = 40;
   const std::string address = range.ip(region, 1, 1) + ":7810";
-  silent_handler handler(io_);
+  unresponsive_handler handler(io_);
   transport::http_server server(io_, handler, {});
   ASSERT_TRUE(server.listen(address));
   std::optional<error_kind> ended;
--- a/transport/include/trestlepost/transport/http_client.h
+++ b/transport/include/trestlepost/transport/http_client.h
@@ -13,6 +13,7 @@
 
 namespace trestlepost::transport {
 
+/// Limits and timeouts of a client.
 struct http_client_options {
   std::chrono::milliseconds connect_timeout{1000};
   /// A pooled connection that has been idle for longer is not reused.
@@ -27,7 +28,7 @@
   bool accept_close_delimited = false;
 };
 
-/// Request with its whole body. `Host` and `Content-Length` are added.
+/// Request with its complete body. `Host` and `Content-Length` are added.
 struct http_request {
   std::string method = "POST";
   std::string target;
--- a/transport/include/trestlepost/transport/http_server.h
+++ b/transport/include/trestlepost/transport/http_server.h
@@ -22,13 +22,13 @@
   std::chrono::milliseconds body_timeout{30'000};
   std::chrono::milliseconds idle_timeout{60'000};
   std::chrono::milliseconds write_timeout{30'000};
-  std::size_t max_connections = 20'000;
+  std::size_t max_connections = 20'000;  // further ones are closed
 };
 
 /// Names and values of headers, in order.
 using header_list = std::vector<std::pair<std::string, std::string>>;
 
-/// Response with its whole body, or the head of a streamed one.
+/// Response with its complete body, or the head of a streamed one.
 struct http_response {
   unsigned status = 200;
   std::string content_type = "application/json";
@@ -49,7 +49,7 @@
   /// Returns all headers in the order of arrival.
   virtual header_list headers() const = 0;
 
-  /// Reads the whole body. Returns an error if it is too large, too slow or
+  /// Reads the complete body. Returns an error if it is too large, too slow or
   /// malformed.
   virtual awaitable<result<std::string>> read_body() = 0;
 
--- a/transport/src/http_client.cc
+++ b/transport/src/http_client.cc
@@ -28,7 +28,7 @@
 // Maximum size in bytes of one read of a body.
 constexpr std::size_t piece_size = 16UL * 1024;
 constexpr char endpoint_remedy[] =
-    "check the endpoint; the request may be sent again when it is repeatable";
+    "check the endpoint; the request may be sent again if it is repeatable";
 
 /// Connection that is used by a call or idle in the pool.
 struct client_connection {
@@ -292,14 +292,14 @@
   co_await http::async_read_header(connection_->stream, connection_->buffer,
                                    *parser_, redirect_error(use_awaitable, ec));
   if (cancelled_ && !ec) ec = asio::error::operation_aborted;
-  if (ec) co_return tl::make_unexpected(failure("no reply from", ec, true));
+  if (ec) co_return tl::make_unexpected(failure("no response from", ec, true));
   const bool delimited = parser_->chunked() || parser_->is_done() ||
                          parser_->content_length().has_value();
   if (!delimited && !client_->options.accept_close_delimited) {
     // The end of the response would look the same as a lost connection.
-    co_return tl::make_unexpected(failure("a response without length from",
-                                          asio::error::no_protocol_option,
-                                          true));
+    co_return tl::make_unexpected(
+        failure("cannot accept a response without length from",
+                asio::error::no_protocol_option, true));
   }
   co_return tl::expected<void, call_failure>();
 }
@@ -315,11 +315,12 @@
     co_await http::async_read_some(connection_->stream, connection_->buffer,
                                    *parser_, redirect_error(use_awaitable, ec));
     if (ec == http::error::need_buffer) ec = {};
-    if (ec) co_return tl::make_unexpected(failure("no reply from", ec, true));
+    if (ec)
+      co_return tl::make_unexpected(failure("no response from", ec, true));
   }
   if (!connection_ || cancelled_ || !parser_->get().keep_alive()) {
     co_return tl::make_unexpected(
-        failure("no reply to this request from", asio::error::eof, true));
+        failure("no response to this request from", asio::error::eof, true));
   }
   co_return co_await read_head();
 }
--- a/transport/src/http_server.cc
+++ b/transport/src/http_server.cc
@@ -146,9 +146,9 @@
   std::uint64_t request_number_ = 0;  // counts requests on this connection
   bool watching_for_disconnect_ = false;
   bool response_started_ = false;
-  bool response_complete_ = false;
+  bool response_complete_ = false;  // sent, and the connection may stay open
   bool chunked_response_ = false;
-  bool unusable_ = false;
+  bool unusable_ = false;  // no further request is read
   bool disconnected_ = false;
   bool draining_ = false;
   bool first_request_ = true;  // no request has been read yet
@@ -248,7 +248,8 @@
       ec == beast::error::timeout;
   if (no_response) co_return false;
   unsigned status = 400;
-  error cause{error_kind::bad_input, "the request's head: " + ec.message(),
+  error cause{error_kind::bad_input,
+              "cannot read the request's head: " + ec.message(),
               "send a well-formed HTTP/1.1 request"};
   if (ec == http::error::header_limit || ec == http::error::buffer_overflow) {
     status = 431;
@@ -293,8 +294,8 @@
     co_return fail(error_kind::deadline, "the body was not received in time",
                    "send the body faster, without pauses");
   }
-  co_return fail(error_kind::bad_input, "the body: " + ec.message(),
-                 "send as many bytes as Content-Length says, or well-formed "
+  co_return fail(error_kind::bad_input, "cannot read the body: " + ec.message(),
+                 "send as many bytes as Content-Length states, or well-formed "
                  "chunks");
 }
 
--- a/transport/src/peer_frame.h
+++ b/transport/src/peer_frame.h
@@ -1,6 +1,7 @@
-// Frame format of connections between nodes. A frame is the length of its
-// payload (4 bytes, big-endian), an HMAC and the payload. Private to this
-// package.
+// Frame format of connections between nodes. The accepting side first sends a
+// random challenge. Each frame is the length of its payload (4 bytes,
+// big-endian), an HMAC and the payload, a JSON-RPC notification that may be
+// compressed. Private to this package.
 #pragma once
 
 #include <array>
@@ -12,6 +13,7 @@
 
 namespace trestlepost::transport::detail {
 
+// Sizes in bytes.
 inline constexpr std::size_t challenge_size = 32;
 inline constexpr std::size_t digest_size = 32;
 inline constexpr std::size_t length_size = 4;
--- a/transport/test/query-test.cc
+++ b/transport/test/query-test.cc
@@ -1,3 +1,4 @@
+// Tests look-ups of parameters in the query of a request's target.
 #include "trestlepost/transport/query.h"
 
 #include <gtest/gtest.h>
--- a/transport/test/rpc-test.cc
+++ b/transport/test/rpc-test.cc
@@ -1,3 +1,5 @@
+// Tests dispatch of JSON-RPC requests, including malformed ones, and parsing of
+// responses.
 #include "trestlepost/transport/rpc.h"
 
 #include <gtest/gtest.h>
