--- a/bench/measure/policy.cc
+++ b/bench/measure/policy.cc
@@ -15,7 +15,7 @@
 using bench::load_options;
 
 // Answers per second of one region's two endpoints under the load below,
-// calculated from the processing times of the stand-ins: 16 slots, some 0.25 s
+// calculated from the processing times of the stand-ins: 16 slots, about 0.25 s
 // per request.
 constexpr double region_capacity = 60;
 constexpr double total_capacity = 3 * region_capacity;
--- a/bench/src/endpoint.h
+++ b/bench/src/endpoint.h
@@ -19,7 +19,7 @@
   double speed = 1;
   std::chrono::microseconds prefill_per_token{300};  // per uncached token
   std::chrono::milliseconds decode_per_token{20};    // with a batch of one
-  double decode_slope = 0.05;  // share added by each other running request
+  double decode_slope = 0.05;  // slowdown per other running request
   std::chrono::milliseconds plain_time{20};
   std::chrono::milliseconds report_lag{200};
   std::size_t cached_prefixes = 40;
--- a/bench/src/load.h
+++ b/bench/src/load.h
@@ -36,7 +36,7 @@
 };
 
 /// Outcomes and latencies of one class. Every latency is stored, since a run
-/// has only some ten thousand requests.
+/// has only about ten thousand requests.
 struct class_result {
   std::vector<double> first_ms;
   std::vector<double> total_ms;
--- a/bench/src/relay.cc
+++ b/bench/src/relay.cc
@@ -39,7 +39,7 @@
   return ip.substr(first + 1, ip.find('.', first + 1) - first - 1);
 }
 
-/// One direction between two regions.
+/// State of one direction of the link between two regions.
 struct link_state {
   milliseconds delay{0};
   bool cut = false;
--- a/soak/test/schedule-test.cc
+++ b/soak/test/schedule-test.cc
@@ -51,7 +51,7 @@
       busy_until = std::max(busy_until, it.end);
     }
   }
-  EXPECT_EQ(seen.size(), 9U);  // 5 kinds; entries have no disk to wipe
+  EXPECT_EQ(seen.size(), 9U);  // 5 for control nodes, 4 for entries: no wipe
   EXPECT_TRUE(overlap);
 }
 
--- a/tests/test/cluster.h
+++ b/tests/test/cluster.h
@@ -22,7 +22,7 @@
 struct cluster_options {
   unsigned delay_ms = 5;   // one way, between regions, in ms
   unsigned endpoints = 2;  // model endpoints in each region
-  double speed = 4;        // factor on the speed of the stand-ins
+  double speed = 4;        // factor by which the stand-ins run faster
   unsigned plain_ms = 20;  // processing time of plain endpoints
   unsigned slots = 8;      // concurrent runs of each endpoint
   std::string policy = "weighed";
@@ -133,7 +133,8 @@
   void change_links(const std::string& query);
 
   cluster_options options_;
-  loopback_range range_;  // before processes_: released after they have ended
+  // Declared before `processes_`, so that it is released after they have ended.
+  loopback_range range_;
   std::string platform_address_;
   std::string relay_control_;
   std::string folder_;
--- a/tests/test/process.cc
+++ b/tests/test/process.cc
@@ -107,7 +107,8 @@
   std::ifstream in("/proc/" + std::to_string(id_) + "/stat");
   std::string text;
   std::getline(in, text);
-  // The process name may contain blanks; the fields after it start with no. 3.
+  // The process name may contain blanks; the fields after it are numbered from
+  // 3.
   std::istringstream rest(text.substr(text.rfind(')') + 2));
   std::string field;
   std::int64_t ticks = 0;
--- a/transport/include/trestlepost/transport/rpc.h
+++ b/transport/include/trestlepost/transport/rpc.h
@@ -1,6 +1,6 @@
 // JSON-RPC 2.0 dispatcher, based on libjsonrpccpp. Handlers run synchronously
-// and must not block: a long operation returns "accepted", and the caller polls
-// for its result.
+// and must not block: the handler of a long operation returns a ticket, and the
+// caller polls for the result with it.
 #pragma once
 
 #include <functional>
