--- a/config/include/trestlepost/config/change.h
+++ b/config/include/trestlepost/config/change.h
@@ -91,10 +91,10 @@
 json to_json(const audit_record& value);
 audit_record audit_record_from(const json& value);
 
-/// Digest of the operator's input. Distinguishes a resent change from another
-/// change with the same id. Base revisions of edits are not part of it, because
-/// a node may have filled them in; a plan is identified by the document that
-/// the operator sent.
+/// Returns a digest of the operator's input. It distinguishes a resent change
+/// from another change with the same id. Base revisions of edits are not part
+/// of it, because a node may have filled them in; a plan is identified by the
+/// document that the operator sent.
 std::string change_digest(const change& value);
 
 }  // namespace trestlepost::config
--- a/config/include/trestlepost/config/objects.h
+++ b/config/include/trestlepost/config/objects.h
@@ -86,7 +86,7 @@
   unsigned share = 1;
 };
 
-// Each function reads one object and adds what is wrong with it to `problems`.
+// Each function reads one object and adds its validation errors to `problems`.
 region read_region(const json& spec, problem_list& problems);
 service read_service(const json& spec, problem_list& problems);
 endpoint read_endpoint(const json& spec, problem_list& problems);
--- a/config/include/trestlepost/config/state_machine.h
+++ b/config/include/trestlepost/config/state_machine.h
@@ -51,11 +51,10 @@
   }
   /// The update from revision `from` to the current one: the changes, or the
   /// whole configuration if the history doesn't go back that far or if the
-  /// changes name more routes than the plan has.
+  /// changes contain more routes than the plan has.
   watch_update update_since(revision_number from) const;
 
-  /// Called with the audit record of each accepted or rejected
-  /// change.
+  /// Called with the audit record of each accepted or rejected change.
   std::function<void(const audit_record&)> on_decided;
 
  private:
--- a/config/include/trestlepost/config/store.h
+++ b/config/include/trestlepost/config/store.h
@@ -55,7 +55,7 @@
 };
 
 /// Longest time for which the outcome of a request may be kept.
-inline constexpr std::chrono::hours longest_key_window{24};
+inline constexpr std::chrono::hours max_key_window{24};
 
 /// A request that is no longer sent to any endpoint because it crashes them.
 struct held_request {
--- a/config/include/trestlepost/config/traffic_plan.h
+++ b/config/include/trestlepost/config/traffic_plan.h
@@ -54,7 +54,7 @@
   /// Requests identify the parts of their prompt, so that they can be routed to
   /// endpoints that have these parts cached.
   bool prefix_affinity = false;
-  /// A broken stream may be resumed at another endpoint.
+  /// An interrupted stream may be resumed at another endpoint.
   bool resumable = false;
   std::vector<weighted_service> split;  // at least one
   /// Regions that may serve, cache and store the requests; empty: all.
--- a/config/include/trestlepost/config/watch_update.h
+++ b/config/include/trestlepost/config/watch_update.h
@@ -47,7 +47,8 @@
                   problem_list& problems);
 
 /// Applies `update` to `store`. Changes that `store` already has are skipped.
-/// Fails with `configuration_behind` if revisions are missing in between.
+/// Fails with `configuration_behind` if revisions are missing in between; the
+/// changes before the gap have then been applied.
 result<void> apply_update(object_store& store, const watch_update& update);
 
 }  // namespace trestlepost::config
--- a/config/src/change.cc
+++ b/config/src/change.cc
@@ -21,8 +21,8 @@
     {change_status::mismatch, "mismatch"},
 }};
 
-// Maximum size of an unpacked change; equals the maximum message size between
-// control nodes.
+// Maximum size of a decompressed change in bytes; equals the maximum message
+// size between control nodes.
 constexpr std::size_t max_command_bytes = 64UL * 1024 * 1024;
 
 json ms_of(wall_time at) {
--- a/config/src/state_machine.cc
+++ b/config/src/state_machine.cc
@@ -9,9 +9,9 @@
 namespace trestlepost::config {
 namespace {
 
-// Maximum size of an unpacked snapshot. The largest planned deployment has
-// about 100 MB of state; the limit keeps a corrupt length field from exhausting
-// the memory.
+// Maximum size of a decompressed snapshot in bytes. The largest planned
+// deployment has about 100 MB of state; the limit keeps a corrupt length field
+// from exhausting the memory.
 constexpr std::size_t max_snapshot_bytes = 1024UL * 1024 * 1024;
 
 change_result rejected(change_status status, revision_number revision,
@@ -362,7 +362,7 @@
     const bool counts = it.revision > from && it.plan;
     if (counts) routes += it.plan->size();
   }
-  // Many small changes can name more routes in total than the plan has; then
+  // Many small changes can contain more routes in total than the plan has; then
   // the whole configuration is smaller.
   const bool shorter = !store_.plan() || routes <= store_.plan()->routes.size();
   if (!covered || !shorter) {
--- a/config/src/store.cc
+++ b/config/src/store.cc
@@ -117,7 +117,7 @@
         break;
       }
       service value = read_service(change.spec, problems);
-      if (value.key_window > longest_key_window) {
+      if (value.key_window > max_key_window) {
         problems.add(change.spec, "service.key_window",
                      "the window is longer than 24 h", "write 24 h at most");
       }
@@ -173,7 +173,7 @@
 
 void object_store::record_replaced(const edit& change, wall_time at) {
   while (!replaced_specs_.empty() &&
-         replaced_specs_.front().replaced_at + longest_key_window < at) {
+         replaced_specs_.front().replaced_at + max_key_window < at) {
     replaced_specs_.pop_front();
   }
   // The region that keeps a request's record doesn't depend on endpoints.
--- a/config/test/control_machine.cc
+++ b/config/test/control_machine.cc
@@ -103,18 +103,18 @@
       receive_join(in);
       return;
     }
-    process_->growth.record_address(*process_->host, local_now,
-                                    in.message->from, in.from_address);
+    process_->formation.record_address(*process_->host, local_now,
+                                       in.message->from, in.from_address);
     process_->host->receive(local_now, *in.message);
   });
 }
 
 void control_machine::receive_join(const machine_message& in) {
-  const bool taken = process_->growth.handle_join(*process_->host, local_now,
-                                                  in.joiner, in.joiner_address);
+  const bool taken = process_->formation.handle_join(
+      *process_->host, local_now, in.joiner, in.joiner_address);
   const std::optional<consensus::replica_id> leader = host().core().leader();
   if (taken || !leader || in.forwarded) return;
-  send_join(process_->growth.address_of(host(), leader->node), in.joiner,
+  send_join(process_->formation.address_of(host(), leader->node), in.joiner,
             in.joiner_address, true);
 }
 
@@ -136,7 +136,7 @@
   machine_message one;
   one.from_machine = name;
   one.from_address = address;
-  one.to_address = process_->growth.address_of(host(), out.to.node);
+  one.to_address = process_->formation.address_of(host(), out.to.node);
   one.message = out;
   post(std::move(one));
 }
@@ -144,7 +144,7 @@
 void control_machine::tick(const std::vector<std::string>& contacts) {
   run_guarded([this] {
     process_->host->tick(local_now);
-    process_->growth.update(*process_->host, local_now, leads(), address);
+    process_->formation.update(*process_->host, local_now, leads(), address);
   });
   if (!running()) return;
   if (local_now < process_->next_join || !host().needs_join(local_now)) return;
@@ -161,7 +161,7 @@
 bool control_machine::may_acknowledge() const {
   if (!leads()) return false;
   if (machine().plan() || options_.acknowledge_early) return true;
-  return process_->growth.is_formed(
+  return process_->formation.is_formed(
       host(), local_now,
       consensus::voters_to_tolerate(options_.tolerated_losses));
 }
--- a/config/test/control_machine.h
+++ b/config/test/control_machine.h
@@ -99,7 +99,7 @@
   std::string name;
   std::string address;
   consensus::test::simulated_disk disk;
-  int frozen_until = 0;     // step of the simulation
+  int suspended_until = 0;  // step of the simulation
   int down_until = 0;       // step of the simulation
   int clock_percent = 100;  // speed of the local clock
   bool present = true;      // false: not added yet, or removed permanently
@@ -109,7 +109,7 @@
   struct process {
     std::map<std::string, std::string> node_addresses;
     observed_machine machine;
-    consensus::group_formation growth{node_addresses};
+    consensus::group_formation formation{node_addresses};
     std::unique_ptr<consensus::group_host> host;
     std::map<std::string, std::function<void(const change_result&)>> waiting;
     std::uint64_t next_read = 1;
--- a/config/test/delivery_tracker-test.cc
+++ b/config/test/delivery_tracker-test.cc
@@ -1,5 +1,4 @@
-// Tests which changes a watcher is sent, and when they are sent
-// again.
+// Tests which changes a watcher is sent, and when they are sent again.
 #include "trestlepost/config/delivery_tracker.h"
 
 #include <gtest/gtest.h>
--- a/config/test/growth_simulation.cc
+++ b/config/test/growth_simulation.cc
@@ -24,9 +24,9 @@
 // Number of equally likely choices in inject_fault.
 constexpr int fault_choices = 14;
 constexpr int max_down_steps = 150;  // steps: 3 s
-// 300 steps (6 s) are longer than the time without messages after which a voter
+// In steps: 6 s, longer than the time without messages after which a voter
 // counts as failed.
-constexpr int max_freeze_steps = 300;
+constexpr int max_suspension_steps = 300;
 
 /// A message and the step at which it is delivered.
 struct queued_message {
@@ -70,7 +70,7 @@
   void tick_all();
   void check();
   void clear_faults();
-  bool awake(const control_machine& it) const;
+  bool is_active(const control_machine& it) const;
   control_machine* lease_holder() const;
   bool all_joined() const;
   bool may_lose_disks() const;
@@ -149,7 +149,8 @@
     groups_.insert(group);
     seed.found(group);
   }
-  if (groups_.size() > 1) report(single_group, seed.name + " founded another");
+  if (groups_.size() > 1)
+    report(single_group, seed.name + " founded a second group");
 }
 
 void growth_simulation::post(const machine_message& out) {
@@ -163,8 +164,8 @@
   if (random_.below(100) < 3) queue_.push_back({out, step_ + delay + 7});
 }
 
-bool growth_simulation::awake(const control_machine& it) const {
-  return it.running() && step_ >= it.frozen_until;
+bool growth_simulation::is_active(const control_machine& it) const {
+  return it.running() && step_ >= it.suspended_until;
 }
 
 control_machine& growth_simulation::random_machine() {
@@ -237,8 +238,8 @@
 }
 
 void growth_simulation::move(control_machine& it) {
-  // Only one machine moves at a time: if all members moved at once, none would
-  // know the address of another.
+  // Only one machine changes its address at a time: if all members did so at
+  // once, none would have the address of another.
   if (!all_joined()) return;
   kill(it, 50);
   it.address = "address " + std::to_string(next_address_++);
@@ -283,8 +284,8 @@
       it.disk.crash_after_sync = static_cast<int>(random_.below(3));
       break;
     case 3:
-      it.frozen_until =
-          step_ + static_cast<int>(random_.below(max_freeze_steps));
+      it.suspended_until =
+          step_ + static_cast<int>(random_.below(max_suspension_steps));
       break;
     case 4:
       blocked_links_.emplace(it.name, other.name);
@@ -316,12 +317,12 @@
 void growth_simulation::run_operators() {
   std::vector<control_machine*> reachable;
   for (const machine_ptr& it : machines_) {
-    if (awake(*it)) reachable.push_back(it.get());
+    if (is_active(*it)) reachable.push_back(it.get());
   }
-  // Operators know the leader most of the time.
+  // Most requests of operators are sent to the leader.
   control_machine* leader = lease_holder();
   const bool leader_known = leader != nullptr && random_.below(4) != 0;
-  if (leader_known && awake(*leader)) reachable = {leader};
+  if (leader_known && is_active(*leader)) reachable = {leader};
   operators_.send_random(reachable);
   if (std::exchange(loss_due_, false)) lose_disks();
 }
@@ -336,8 +337,8 @@
   for (const queued_message& it : due) {
     for (const machine_ptr& to : machines_) {
       if (to->address != it.message.to_address || !to->running()) continue;
-      if (step_ < to->frozen_until) {
-        queue_.push_back({it.message, to->frozen_until});
+      if (step_ < to->suspended_until) {
+        queue_.push_back({it.message, to->suspended_until});
         continue;
       }
       to->deliver(it.message);
@@ -350,7 +351,7 @@
     it->local_now += step_time * it->clock_percent / 100;
     if (!it->present) continue;
     if (!it->running() && step_ >= it->down_until) start(*it);
-    if (awake(*it)) it->tick(seeds_);
+    if (is_active(*it)) it->tick(seeds_);
   }
   if (step_ % seed_list_interval != 0) return;
   seeds_.clear();
@@ -368,7 +369,8 @@
     const consensus::replica& core = it->host().core();
     const auto [found, added] = leaders_.emplace(core.term(), it->name);
     if (added) ++outcome_.leaders;
-    if (found->second != it->name) report(single_leader, "two leaders");
+    if (found->second != it->name)
+      report(single_leader, "two leaders in one term");
     if (it->leads()) ++leases;
     outcome_.largest_group =
         std::max(outcome_.largest_group, core.members().size());
@@ -389,7 +391,7 @@
 void growth_simulation::clear_faults() {
   blocked_links_.clear();
   for (const machine_ptr& it : machines_) {
-    it->frozen_until = 0;
+    it->suspended_until = 0;
     it->down_until = 0;
     it->disk.crash_before_sync = -1;
     it->disk.crash_after_sync = -1;
--- a/config/test/growth_simulation.h
+++ b/config/test/growth_simulation.h
@@ -31,7 +31,7 @@
   bool reuse_incarnation = false;  // a machine with an erased disk keeps its id
   bool skip_number_check = false;  // the latest plan is in force
   bool found_at_every_start = false;  // instead of at the first start only
-  read_mode reads = read_mode::shipped;
+  read_mode reads = read_mode::production;
 };
 
 /// A violated property, and a description of what was observed.
@@ -48,7 +48,7 @@
   std::size_t leaders = 0;
   std::size_t simultaneous_losses = 0;  // of as many disks as are tolerated
   std::size_t initial_losses = 0;       // before any other fault
-  std::size_t moves = 0;
+  std::size_t moves = 0;                // address changes
   std::size_t replaced = 0;
   std::size_t retired = 0;
   std::size_t largest_group = 0;
--- a/config/test/plan_operators.cc
+++ b/config/test/plan_operators.cc
@@ -117,8 +117,8 @@
                                    const change_result& outcome, bool edits) {
   const bool valid = !plan->document.starts_with(invalid_mark);
   const bool accepted = outcome.status == change_status::accepted;
-  // An edit with a number that is not above the current one is accepted without
-  // validation.
+  // An edit whose number is not above that of the plan in force is accepted
+  // without validation, because it changes nothing.
   const bool passed = edits && !valid && plan->number <= highest_;
   if (accepted != valid && !passed) {
     violation_(no_invalid_plan, plan->document + " was answered with " +
@@ -134,10 +134,10 @@
 void plan_operators::read(control_machine& from) {
   const plan_number min_number = acknowledged_;
   control_machine* source = &from;
-  const bool shipped =
-      mode_ == read_mode::shipped || mode_ == read_mode::copy_at_once;
-  const bool leased = shipped || mode_ == read_mode::lease_only;
-  const bool rounds = shipped || mode_ == read_mode::round_only;
+  const bool production =
+      mode_ == read_mode::production || mode_ == read_mode::copy_at_once;
+  const bool leased = production || mode_ == read_mode::lease_only;
+  const bool rounds = production || mode_ == read_mode::round_only;
   const bool sure = leased ? from.leads() : from.host().core().is_leader();
   if (!sure) return;
   if (rounds) {
@@ -180,8 +180,9 @@
   const plan_number number = number_in_force(from);
   highest_read_ = std::max(highest_read_, number);
   if (number >= min_number) return;
-  violation_(no_plan_lost, from.name + " shows " + std::to_string(number) +
-                               " after " + std::to_string(min_number) +
+  violation_(no_plan_lost, from.name + " returned plan " +
+                               std::to_string(number) + " after plan " +
+                               std::to_string(min_number) +
                                " was acknowledged");
 }
 
@@ -201,7 +202,8 @@
                                      const consensus::entry& committed) {
   const auto [it, added] = log_.emplace(committed.index, committed.data);
   if (!added && it->second != committed.data) {
-    violation_(identical_logs, by.name + " applied another entry at " +
+    violation_(identical_logs, by.name +
+                                   " applied a different entry at index " +
                                    std::to_string(committed.index));
     return;
   }
@@ -213,9 +215,9 @@
   const plan_number number = number_in_force(by);
   if (number != highest_at_[committed.index]) {
     violation_(highest_number_in_force,
-               by.name + " holds " + std::to_string(number) + " at index " +
-                   std::to_string(committed.index) + ", not " +
-                   std::to_string(highest_at_[committed.index]));
+               by.name + " has plan " + std::to_string(number) +
+                   " in force at index " + std::to_string(committed.index) +
+                   ", not " + std::to_string(highest_at_[committed.index]));
   }
   observe_in_force(by);
   check_ready_copies(by, committed.index);
@@ -225,12 +227,12 @@
   const plan_ptr& plan = by.machine().plan();
   if (!plan) return;
   if (plan->document.starts_with(invalid_mark)) {
-    violation_(no_invalid_plan, by.name + " holds " + plan->document);
+    violation_(no_invalid_plan, by.name + " has in force: " + plan->document);
   }
   const auto [it, added] = contents_.emplace(plan->number, plan->document);
   if (!added && it->second != plan->document) {
     violation_(unique_content,
-               by.name + " holds " + plan->document + " under number " +
+               by.name + " has " + plan->document + " under number " +
                    std::to_string(plan->number) + ", not " + it->second);
   }
 }
--- a/config/test/plan_operators.h
+++ b/config/test/plan_operators.h
@@ -27,14 +27,14 @@
 inline constexpr char no_invalid_plan[] = "no invalid plan is in force";
 inline constexpr char identical_logs[] = "all machines have the same log";
 
-/// How a read is confirmed. The production code (`shipped`) requires both the
-/// leader's lease and a round trip to a quorum. The other modes are faults or
-/// variants: only one of the two, neither (any node that considers itself the
-/// leader answers), or `copy_at_once`: a follower answers from its copy as soon
-/// as the leader has confirmed the read, without waiting until it has applied
-/// the leader's entries.
+/// How a read is confirmed. The production code (`production`) requires both
+/// the leader's lease and a round trip to a quorum. The other modes are faults
+/// or variants: only one of the two, neither (any node that considers itself
+/// the leader answers), or `copy_at_once`: a follower answers from its copy as
+/// soon as the leader has confirmed the read, without waiting until it has
+/// applied the leader's entries.
 enum class read_mode {
-  shipped,
+  production,
   round_only,
   lease_only,
   unconfirmed,
--- a/config/test/traffic_plan-test.cc
+++ b/config/test/traffic_plan-test.cc
@@ -90,7 +90,7 @@
        [](traffic_plan& it) {
          it.routes[0].split = {{"none", 1}};
        }},
-      {"two routes at one place",
+      {"two routes with one host and path prefix",
        [](traffic_plan& it) { it.routes.push_back(it.routes[0]); }},
       {"weights sum to 0",
        [](traffic_plan& it) {
--- a/consensus/include/trestlepost/consensus/group_formation.h
+++ b/consensus/include/trestlepost/consensus/group_formation.h
@@ -1,5 +1,5 @@
-// Founding of a consensus group: accepts the nodes that ask to join, records
-// the members' addresses, and decides when the group has enough voters to
+// Founds a consensus group: accepts the nodes that request to join, records the
+// members' addresses, and decides when the group has enough voters to
 // acknowledge changes.
 #pragma once
 
@@ -18,8 +18,8 @@
   return 2 * losses + 1;
 }
 
-/// Decisions about joins and addresses for the replica of a `group_host`. Sends
-/// no messages itself.
+/// Decides about joins and member addresses for the replica of a `group_host`.
+/// Sends no messages itself.
 class group_formation {
  public:
   /// `observed_addresses` maps each node to the sender address of its last
--- a/consensus/include/trestlepost/consensus/group_host.h
+++ b/consensus/include/trestlepost/consensus/group_host.h
@@ -43,11 +43,12 @@
   /// exceeds the limit is still applied. A replica that replays a long log
   /// after a start must keep receiving messages and renewing its lease.
   std::size_t apply_bytes = 64UL * 1024;
-  /// A learner that has sent nothing for this time is not promoted to voter.
+  /// A member that has not replied for this time counts as unreachable. An
+  /// unreachable learner is not promoted to voter.
   std::chrono::milliseconds member_timeout{3000};
 };
 
-/// Membership that consists of the nodes that ask to join, instead of a
+/// Membership that consists of the nodes that request to join, instead of a
 /// configured list.
 struct open_membership {
   /// Voters that the group keeps even if they are unreachable. An unreachable
@@ -86,15 +87,16 @@
   void handle_join(monotonic_time now, const replica_id& joiner,
                    const std::string& address = "");
 
-  /// Names the nodes that should be voters. The leader changes the group one
+  /// Sets the nodes that should be voters. The leader changes the group one
   /// committed member change at a time.
   void set_desired_voters(std::vector<std::string> nodes);
 
-  /// Makes every node that asks to join a voter, instead of a fixed list.
+  /// Makes every node that requests to join a voter, instead of the nodes of a
+  /// fixed list.
   void set_open_membership(open_membership options) {
     open_membership_ = options;
   }
-  /// The member of this node that replied last, or null.
+  /// The member of `node` that replied last, or null.
   const member* find_member(const std::string& node) const;
   /// Whether any member is not a voter yet.
   bool has_learners() const;
@@ -107,9 +109,9 @@
   /// and it has applied all entries that earlier leaders may have acknowledged.
   bool holds_lease(monotonic_time now) const;
   bool is_member() const;
-  /// Whether this replica should ask the leader to add it: it is not a member,
-  /// or no leader sends to it. That its own list names it is not enough,
-  /// because the entry that added it may have been overwritten.
+  /// Whether this replica should request the leader to add it: it is not a
+  /// member, or no leader sends to it. Being in its own member list is not
+  /// enough, because the entry that added it may have been overwritten.
   bool needs_join(monotonic_time now) const;
   const std::optional<error>& failure() const { return failure_; }
   log_index applied() const { return applied_; }
--- a/consensus/include/trestlepost/consensus/replica.h
+++ b/consensus/include/trestlepost/consensus/replica.h
@@ -35,8 +35,8 @@
   /// Links accept messages of 64 MB, but encoding 1 MB blocks a leader for
   /// about 15 ms.
   std::size_t batch_bytes = 1024UL * 1024;
-  /// Disable a safety mechanism, so that tests can show that its absence is
-  /// detected.
+  // Fault injection: each flag disables a safety mechanism, so that tests can
+  // show that its absence is detected.
   bool skip_log_check = false;
   bool learners_vote = false;
 };
@@ -79,8 +79,8 @@
 
   /// Continues as the only voter of a new group after the majority is lost for
   /// good. The new group has all entries of this replica's log; entries that
-  /// only lost replicas held are lost. Messages of replicas of the former group
-  /// are ignored from then on.
+  /// only lost replicas held are lost. Messages of replicas of the previous
+  /// group are ignored from then on.
   result<void> recover_alone(std::string group_id);
 
   void tick(monotonic_time now);
@@ -143,8 +143,8 @@
     log_index match = 0;
     std::uint64_t acked_round = 0;
     std::optional<monotonic_time> reply_at;
-    monotonic_time
-        replicating_since;  // when this leader began to replicate to it
+    /// When this leader began to replicate to the member.
+    monotonic_time replicating_since;
     monotonic_time retry_at;
     bool probing = true;
     /// First index of the last entries sent while probing. They are not sent
@@ -194,7 +194,8 @@
   /// Delays this replica's own election because it granted a pre-vote to
   /// `candidate`, so that the few remaining voters do not split their votes.
   /// This happens only once until the next term or message of a leader: a
-  /// candidate whose links fail in one direction keeps asking and never wins.
+  /// candidate whose links fail in one direction repeats its requests and never
+  /// wins.
   void yield_to(const replica_id& candidate);
 
   void append(entry_type type, std::string data);
--- a/consensus/src/group_formation.cc
+++ b/consensus/src/group_formation.cc
@@ -7,8 +7,8 @@
 
 using std::chrono::milliseconds;
 
-// A founding leader that has enough voters waits until no node has asked to
-// join for `founding_quiet_period`. Without enough voters it continues after
+// A founding leader that has enough voters waits until no node has requested
+// to join for `founding_quiet_period`. Without enough voters it continues after
 // `founding_timeout` with those that have joined.
 constexpr milliseconds founding_quiet_period{1000};
 constexpr milliseconds founding_timeout{6000};
@@ -59,7 +59,7 @@
 bool group_formation::handle_join(group_host& host, monotonic_time now,
                                   const replica_id& joiner,
                                   const std::string& address) {
-  // An earlier machine of this name may have sent from another address.
+  // An earlier VM with this node name may have sent from another address.
   if (!address.empty()) observed_addresses_[joiner.node] = address;
   if (!host.core().is_leader()) return false;
   last_join_at_ = now;
--- a/consensus/src/replication.cc
+++ b/consensus/src/replication.cc
@@ -84,9 +84,9 @@
 bool replica::awaits_admission(const replica_id& id,
                                const progress& peer) const {
   // The first message binds an empty replica to this group permanently. A
-  // leader that has lost its majority and does not know it yet must not bind a
-  // new node to a group that can never admit it. Voters are exempt, because
-  // their votes may be needed to commit the entry.
+  // leader that has lost its majority without having detected it yet must not
+  // bind a new node to a group that can never admit it. Voters are exempt,
+  // because their votes may be needed to commit the entry.
   return peer.admitted_at > commit_ && !is_voter(id);
 }
 
--- a/consensus/test/group_formation-test.cc
+++ b/consensus/test/group_formation-test.cc
@@ -41,46 +41,48 @@
   group_host host{{"a", 1}, {},   std::make_unique<simulated_storage>(disk),
                   machine,  sink, random};
   std::map<std::string, std::string> observed_addresses;
-  group_formation growth{observed_addresses};
+  group_formation formation{observed_addresses};
 };
 
 TEST(group_formation_test,
      a_group_is_not_formed_before_the_founders_first_tick) {
   founded_group group;
   ASSERT_TRUE(group.host.holds_lease(group.now));
-  EXPECT_FALSE(group.growth.is_formed(group.host, group.now, 3));
+  EXPECT_FALSE(group.formation.is_formed(group.host, group.now, 3));
 }
 
 TEST(group_formation_test, a_founder_waits_for_voters_for_a_limited_time) {
   founded_group group;
-  group.growth.update(group.host, group.now, true, "address of a");
+  group.formation.update(group.host, group.now, true, "address of a");
   group.now += milliseconds(5999);
-  EXPECT_FALSE(group.growth.is_formed(group.host, group.now, 3));
-  EXPECT_TRUE(group.growth.is_formed(group.host, group.now, 1));
+  EXPECT_FALSE(group.formation.is_formed(group.host, group.now, 3));
+  EXPECT_TRUE(group.formation.is_formed(group.host, group.now, 1));
   group.now += milliseconds(1);
-  EXPECT_TRUE(group.growth.is_formed(group.host, group.now, 3));
+  EXPECT_TRUE(group.formation.is_formed(group.host, group.now, 3));
 }
 
 TEST(group_formation_test,
      a_replaced_node_gets_the_address_of_its_join_request) {
   founded_group group;
-  group.growth.record_address(group.host, group.now, {"b", 1},
-                              "former address");
-  group.growth.handle_join(group.host, group.now, {"b", 2}, "new address");
-  EXPECT_EQ(group.growth.address_of(group.host, "b"), "new address");
+  group.formation.record_address(group.host, group.now, {"b", 1},
+                                 "former address");
+  group.formation.handle_join(group.host, group.now, {"b", 2}, "new address");
+  EXPECT_EQ(group.formation.address_of(group.host, "b"), "new address");
 }
 
 TEST(group_formation_test, a_member_with_a_new_address_is_updated_in_the_list) {
   founded_group group;
-  group.growth.handle_join(group.host, group.now, {"b", 1}, "former address");
+  group.formation.handle_join(group.host, group.now, {"b", 1},
+                              "former address");
   ASSERT_EQ(group.host.find_member("b")->address, "former address");
-  group.growth.record_address(group.host, group.now, {"b", 1}, "new address");
+  group.formation.record_address(group.host, group.now, {"b", 1},
+                                 "new address");
   EXPECT_EQ(group.host.find_member("b")->address, "new address");
 }
 
 TEST(group_formation_test, a_leader_with_a_new_address_updates_the_list) {
   founded_group group;
-  group.growth.update(group.host, group.now, true, "new address");
+  group.formation.update(group.host, group.now, true, "new address");
   EXPECT_EQ(group.host.find_member("a")->address, "new address");
 }
 
--- a/consensus/test/group_host-test.cc
+++ b/consensus/test/group_host-test.cc
@@ -59,7 +59,7 @@
   group_host& host(const std::string& name) { return *nodes_[name].host; }
   monotonic_time now() const { return now_; }
 
-  /// The node returns with an empty disk and asks to join at once.
+  /// The node returns with an empty disk and requests to join at once.
   void lose_disk(const std::string& name) {
     node& it = nodes_[name];
     it.host.reset();
@@ -224,7 +224,8 @@
   group it("c");
   for (const char* name : {"a", "b"}) it.lose_disk(name);
   for (const char* name : {"a", "b"}) it.start(name);
-  // The nodes ask to join before the survivor has noticed the lost majority.
+  // The nodes request to join before the survivor has detected the lost
+  // majority.
   ASSERT_TRUE(it.host("c").core().is_leader());
   ASSERT_TRUE(it.run([&] { return !it.host("c").core().is_leader(); }));
   ASSERT_TRUE(it.run(
--- a/consensus/test/log_replay-test.cc
+++ b/consensus/test/log_replay-test.cc
@@ -1,10 +1,10 @@
 // Tests that a new leader stays responsive while it applies a long log.
 //
-// Each new leader once applied its whole log in one event loop iteration: 1.4
-// to 1.7 s for twelve plans of up to 4,000 routes. It received and sent no
-// messages in that time, so other nodes started elections and the next leader
-// had the same work to do. After a power loss of all nodes no change was
-// confirmed for seconds.
+// Guards against a new leader that applies its whole log in one event loop
+// iteration: 1.4 to 1.7 s for twelve plans of up to 4,000 routes. It receives
+// and sends no messages in that time, so other nodes start elections and the
+// next leader has the same work to do. After a power loss of all nodes each
+// leader lasts less than a second and no change is confirmed for seconds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/consensus/test/replica-test.cc
+++ b/consensus/test/replica-test.cc
@@ -64,7 +64,7 @@
   EXPECT_FALSE(std::get<vote_reply>(out.messages[1].body).granted);
 }
 
-TEST(replica_test, a_message_for_a_former_incarnation_is_ignored) {
+TEST(replica_test, a_message_for_a_previous_incarnation_is_ignored) {
   seeded_random random(1);
   replica it({"a", 2}, {}, {}, random, monotonic_time());
   it.receive(monotonic_time(),
@@ -183,7 +183,7 @@
 
 TEST(replica_test, a_candidate_without_replies_does_not_block_others) {
   // The candidate's requests arrive but the replies to it do not, as when links
-  // fail in one direction. It keeps asking.
+  // fail in one direction. It repeats its requests.
   seeded_random random(1);
   monotonic_time now;
   durable_state state = founded_state();
@@ -371,8 +371,8 @@
   std::uint64_t round_ = 1;
 };
 
-// A follower that took long to process entries was sent the same entries with
-// each heartbeat, which slowed it down further.
+// Guards against sending a follower that takes long to process entries the same
+// entries with each heartbeat, which slows it down further.
 TEST(replica_test, missing_entries_are_sent_once_per_election_timeout) {
   leader_with_log it(5, 10);
   std::size_t sent = commands_to(id_b, it.reject_by_b());
@@ -384,8 +384,8 @@
   EXPECT_EQ(sent, 10U);
 }
 
-// All entries that a follower lacked used to be sent in one message. Links
-// rejected it above 64 MB, and smaller ones took seconds to process.
+// Guards against sending all entries that a follower lacks in one message:
+// links reject it above 64 MB, and smaller ones take seconds to process.
 TEST(replica_test, a_long_log_is_sent_in_messages_of_bounded_size) {
   constexpr std::size_t half_limit = 512UL * 1024;
   leader_with_log it(6, half_limit);
--- a/consensus/test/simulation.cc
+++ b/consensus/test/simulation.cc
@@ -56,7 +56,7 @@
   simulated_disk disk;
   recording_machine machine;
   std::unique_ptr<group_host> host;
-  int frozen_until = 0;
+  int suspended_until = 0;
   int down_until = 0;
   int clock_percent = 100;
   monotonic_time local_now;
@@ -91,14 +91,14 @@
   bool replicas_agree() const;
   void heal();
   bool reachable(const std::string& from, const std::string& to) const {
-    return !cut_links_.contains({from, to});
+    return !blocked_links_.contains({from, to});
   }
 
   simulation_options options_;
   seeded_random random_;
   std::vector<std::unique_ptr<node>> nodes_;
   std::vector<packet> packets_;
-  std::set<std::pair<std::string, std::string>> cut_links_;
+  std::set<std::pair<std::string, std::string>> blocked_links_;
   std::map<log_index, std::string> applied_;
   std::map<term_number, std::string> leaders_;
   std::map<std::string, std::size_t> times_applied_;
@@ -238,18 +238,18 @@
       it.disk.crash_after_sync = static_cast<int>(random_.below(3));
       break;
     case 3:
-      it.frozen_until = step_ + static_cast<int>(random_.below(200));
+      it.suspended_until = step_ + static_cast<int>(random_.below(200));
       break;
     case 4:
-      cut_links_.emplace(it.name, other.name);
+      blocked_links_.emplace(it.name, other.name);
       break;
     case 5:
-      cut_links_.emplace(it.name, other.name);
-      cut_links_.emplace(other.name, it.name);
+      blocked_links_.emplace(it.name, other.name);
+      blocked_links_.emplace(other.name, it.name);
       break;
     case 6:
     case 7:
-      cut_links_.clear();
+      blocked_links_.clear();
       break;
     default:
       lose_disk();
@@ -259,7 +259,7 @@
 
 void simulation::propose() {
   for (const std::unique_ptr<node>& it : nodes_) {
-    if (!it->host || step_ < it->frozen_until) continue;
+    if (!it->host || step_ < it->suspended_until) continue;
     if (!it->host->core().is_leader()) continue;
     run_until_crash(*it, [this, &it] {
       it->host->propose(it->local_now,
@@ -278,8 +278,8 @@
   for (const packet& it : due) {
     for (const std::unique_ptr<node>& to : nodes_) {
       if (to->name != it.content.to.node || !to->host) continue;
-      if (step_ < to->frozen_until) {
-        packets_.push_back({it.content, to->frozen_until});
+      if (step_ < to->suspended_until) {
+        packets_.push_back({it.content, to->suspended_until});
         continue;
       }
       run_until_crash(*to,
@@ -292,12 +292,12 @@
   for (const std::unique_ptr<node>& it : nodes_) {
     it->local_now += step_time * it->clock_percent / 100;
     if (!it->host && step_ >= it->down_until) start(*it);
-    if (!it->host || step_ < it->frozen_until) continue;
+    if (!it->host || step_ < it->suspended_until) continue;
     run_until_crash(*it, [&] { it->host->tick(it->local_now); });
     if (!it->host || step_ % 10 != 0) continue;
     if (!it->host->needs_join(it->local_now)) continue;
     node* to = leader();
-    if (to == nullptr || step_ < to->frozen_until) continue;
+    if (to == nullptr || step_ < to->suspended_until) continue;
     if (!reachable(it->name, to->name)) continue;
     run_until_crash(*to,
                     [&] { to->host->handle_join(to->local_now, it->id()); });
@@ -334,9 +334,9 @@
 }
 
 void simulation::heal() {
-  cut_links_.clear();
+  blocked_links_.clear();
   for (const std::unique_ptr<node>& it : nodes_) {
-    it->frozen_until = 0;
+    it->suspended_until = 0;
     it->down_until = 0;
     it->disk.crash_before_sync = -1;
     it->disk.crash_after_sync = -1;
--- a/ledger/include/trestlepost/ledger/claim_table.h
+++ b/ledger/include/trestlepost/ledger/claim_table.h
@@ -1,5 +1,5 @@
-// The pending claims and outcomes of one gateway. Each is proposed repeatedly
-// until the gateway's own replica has applied it.
+// Tracks the pending claims and outcomes of one gateway, and proposes each
+// repeatedly until the gateway's own replica has applied it.
 #pragma once
 
 #include <functional>
--- a/ledger/include/trestlepost/ledger/record.h
+++ b/ledger/include/trestlepost/ledger/record.h
@@ -1,4 +1,5 @@
-// Records and commands of the run-once ledger.
+// Records and commands of the run-once ledger, and their JSON form. A record
+// stores whether the request of an idempotency key has run, and its answer.
 #pragma once
 
 #include <chrono>
@@ -30,7 +31,13 @@
   bool complete = false;  // false: too large to store
 };
 
-enum class record_state { claimed, done, unknown, moved, expired };
+enum class record_state {
+  claimed,  // an attempt may be running the request
+  done,     // ran; the answer is stored
+  unknown,  // whether the request ran is not known
+  moved,    // another region owns the key
+  expired   // tombstone of a key whose window has ended
+};
 
 struct record {
   record_state state = record_state::claimed;
@@ -72,13 +79,13 @@
 };
 
 enum class claim_verdict {
-  granted,
-  replay,
-  in_progress,
-  unknown,
-  mismatch,
-  expired,
-  moved
+  granted,      // the attempt may run the request
+  replay,       // the request has run; the stored answer is returned
+  in_progress,  // another attempt is running it, or the ledger is full
+  unknown,      // an earlier attempt may have run it
+  mismatch,     // the key was used for another request
+  expired,      // the key's window has ended
+  moved         // another region owns the key
 };
 
 std::string_view to_string(claim_verdict verdict);
--- a/ledger/include/trestlepost/ledger/state_machine.h
+++ b/ledger/include/trestlepost/ledger/state_machine.h
@@ -16,8 +16,8 @@
   /// Maximum number of records. Further claims are refused, since a request
   /// must not run without a record.
   std::size_t records = 1'000'000;
-  /// Disable single mechanisms, for tests that show that the checks detect
-  /// their absence.
+  // Fault injection: each flag disables a mechanism, for tests that show that
+  // the checks detect its absence.
   bool grant_after_unknown = false;
   bool skip_digest_check = false;
 };
--- a/ledger/test/ledger-test.cc
+++ b/ledger/test/ledger-test.cc
@@ -1,4 +1,4 @@
-// Decisions of the ledger, snapshots, and claims over a lossy log.
+// Tests the ledger's decisions, its snapshots, and claims over a lossy log.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
--- a/membership/include/trestlepost/membership/digest_reader.h
+++ b/membership/include/trestlepost/membership/digest_reader.h
@@ -1,6 +1,6 @@
 // Applies the digests of relays to the node table. Digests of several relays
 // merge in any order: a node's state comes from its heartbeat with the highest
-// sequence, its last contact is the latest that any relay reports.
+// sequence, and its last contact is the latest that any relay reports.
 #pragma once
 
 #include <cstdint>
--- a/membership/include/trestlepost/membership/digest_writer.h
+++ b/membership/include/trestlepost/membership/digest_writer.h
@@ -1,4 +1,5 @@
-// Builds, on a relay, the digests for each receiver.
+// Builds the digests that a relay sends: tracks the changes of nodes by
+// version, so that each receiver is sent only the changes that it lacks.
 #pragma once
 
 #include <chrono>
@@ -22,7 +23,7 @@
       : relay_(self.name), region_(self.region), incarnation_(incarnation) {}
 
   /// Updates the rows from nodes with first-hand contact. What another relay of
-  /// the region has reported is left out: two relays could otherwise keep a
+  /// the region has reported is omitted: two relays could otherwise keep a
   /// dead node alive by reporting it to each other.
   void update(const node_table& table, std::chrono::milliseconds late_after,
               monotonic_time now);
--- a/membership/include/trestlepost/membership/directory.h
+++ b/membership/include/trestlepost/membership/directory.h
@@ -40,12 +40,13 @@
   bool may_run_in(const std::string& region) const;
 };
 
-/// The answering node's region, and when an entry counts as silent.
+/// Region of the directory node, and the time without heartbeats after which an
+/// entry counts as silent.
 struct directory_options {
   /// Region of the directory node, which receives that region's heartbeats
   /// itself.
   std::string own_region;
-  /// An entry of the own region without heartbeats for this time is left out
+  /// An entry of `own_region` without heartbeats for this time is omitted
   /// while another entry can accept its callers. The value is a few heartbeats
   /// and well below the time to suspect a node, because a failed VM is costly
   /// for callers: a new connection to it takes a second to fail, and a request
@@ -72,8 +73,8 @@
                                      const directory_options& options,
                                      monotonic_time now);
 
-/// Ranks entries by state (ready before isolated), distance and load. Leaves
-/// out draining, starting and unreachable nodes.
+/// Ranks entries by state (ready before isolated), distance and load. Omits
+/// draining, starting and unreachable nodes.
 std::vector<entry_view> rank_entries(const node_table& table,
                                      const entry_query& query,
                                      monotonic_time now);
--- a/membership/include/trestlepost/membership/endpoint_sums.h
+++ b/membership/include/trestlepost/membership/endpoint_sums.h
@@ -40,8 +40,9 @@
 endpoint_sums excluding_node(endpoint_sums sums, const node_table& table,
                              const std::string& node, monotonic_time now);
 
-/// Mean load of each service over the ready gateways of `region`. The wait is
-/// the shortest one, because a request is sent to the best gateway.
+/// Mean load of each service over the ready gateways of `region`. `wait`,
+/// `event_interval` and `endpoints` are those of the gateway with the shortest
+/// wait, because a request is sent to the best gateway.
 std::map<std::string, service_load> service_means(const node_table& table,
                                                   const std::string& region,
                                                   monotonic_time now);
--- a/membership/include/trestlepost/membership/endpoint_tracker.h
+++ b/membership/include/trestlepost/membership/endpoint_tracker.h
@@ -27,8 +27,10 @@
 struct endpoint_options {
   /// Consecutive failures after which an endpoint is ejected.
   unsigned failures_to_eject = 3;
+  /// Duration of the first ejection. It doubles with each further one, up to
+  /// `max_ejection`; a successful request resets it.
   std::chrono::milliseconds first_ejection{1000};
-  std::chrono::milliseconds longest_ejection{30'000};
+  std::chrono::milliseconds max_ejection{30'000};
   /// Time in which the limit of a returned endpoint grows to its full value.
   std::chrono::milliseconds ramp{8000};
   /// Percentage of a service's endpoints that may be ejected for failures.
--- a/membership/include/trestlepost/membership/node_state.h
+++ b/membership/include/trestlepost/membership/node_state.h
@@ -28,11 +28,12 @@
   /// Time to wait for the first confirmation before the node serves from the
   /// stored copy as isolated.
   std::chrono::milliseconds startup_wait{5000};
-  /// Time after a start in which a node counts as learning. After kills of all
-  /// nodes, gateways were confirmed by a leader 1.1 to 1.8 s after their start.
+  /// Time after a start in which a node may count as catching up. After kills
+  /// of all nodes, gateways were confirmed by a leader 1.1 to 1.8 s after their
+  /// start.
   std::chrono::milliseconds catch_up_time{2000};
-  /// Time after the first confirmation within which a node learns of other
-  /// regions.
+  /// Time after the first confirmation within which a node receives the state
+  /// of other regions.
   std::chrono::milliseconds confirmation_settling_time{500};
   /// A gap of this length between two ticks counts as a suspension of the
   /// process. After shorter gaps endpoint data is no older than it can be
@@ -70,7 +71,7 @@
   bool is_behind(monotonic_time now) const;
   /// Whether this node is behind, or has started recently and has had no
   /// leader's confirmation yet or only just. Missing data may arrive at any
-  /// moment.
+  /// time.
   bool is_catching_up(monotonic_time now) const;
   /// As `crosses_regions`, but also lets a stopping node finish its accepted
   /// requests.
--- a/membership/include/trestlepost/membership/node_table.h
+++ b/membership/include/trestlepost/membership/node_table.h
@@ -83,7 +83,7 @@
 /// Reachability of a node by the time of its last contact.
 enum class peer_state { live, suspect, dead };
 
-/// Last known state of a node, and when it was received.
+/// Last known state of a node, and the times of the last contacts with it.
 struct node_record {
   heartbeat last;
   monotonic_time last_contact_at;
--- a/membership/src/digest_reader.cc
+++ b/membership/src/digest_reader.cc
@@ -3,7 +3,7 @@
 namespace trestlepost::membership {
 namespace {
 
-/// Time of the relay's last contact with node `name`.
+/// Earliest possible time of the relay's last contact with node `name`.
 monotonic_time contact_time(const region_digest& in, const std::string& name,
                             monotonic_time now) {
   const auto late = in.late.find(name);
--- a/membership/src/directory.cc
+++ b/membership/src/directory.cc
@@ -164,7 +164,7 @@
   return out;
 }
 
-/// Entries for a caller whose own region can't run the host's requests.
+/// Entries for a caller whose region can't run the host's requests.
 entry_list usable_elsewhere(const node_table& table, const entry_query& query,
                             const host_regions& host,
                             const directory_options& options,
@@ -197,8 +197,9 @@
   const bool any_region =
       !host.all_routes_bound && (near.any_lost || host.homes.empty());
   entry_list out = replacement_entries(table, query, host, any_region, now);
-  // If the entries of its own region were alive, this node would have contact
-  // with them. Entries of another region may only be partitioned from it.
+  // If the entries of this node's region were live, this node would have
+  // contact with them. Entries of another region may only be partitioned from
+  // it.
   const bool is_certainly_lost =
       query.near_region == options.own_region && !out.empty();
   if (is_certainly_lost) return out;
--- a/membership/src/endpoint_tracker.cc
+++ b/membership/src/endpoint_tracker.cc
@@ -100,7 +100,7 @@
   if (next != endpoint_states::ejected) return;
   constexpr unsigned max_doublings = 10;
   const std::chrono::milliseconds length = std::min(
-      options_.longest_ejection,
+      options_.max_ejection,
       options_.first_ejection * (1U << std::min(it.ejections, max_doublings)));
   ++it.ejections;
   it.failures = 0;
--- a/membership/test/node_table-test.cc
+++ b/membership/test/node_table-test.cc
@@ -88,7 +88,7 @@
 }
 
 // The gateways that send to a cold endpoint are chosen among these. A gateway
-// without recent contact may still be sending. If it were left out, another one
+// without recent contact may still be sending. If it were omitted, another one
 // would take its place while it still sends; if many gateways are suspended or
 // have just started, each of the others would.
 TEST(node_table_test, a_suspect_gateway_is_a_possible_gateway) {
--- a/membership/test/region_digest-test.cc
+++ b/membership/test/region_digest-test.cc
@@ -105,7 +105,7 @@
   EXPECT_LE(length(300), length(10) + 4);
 }
 
-TEST(region_digest_test, a_silent_node_dies_when_it_does_at_the_relay) {
+TEST(region_digest_test, a_silent_node_is_dead_once_its_relay_counts_it_dead) {
   relay r("r");
   receiver m;
   const monotonic_time start;
--- a/node/src/settings.cc
+++ b/node/src/settings.cc
@@ -277,7 +277,7 @@
     read("startup_wait", out_.state.startup_wait);
     read("endpoint_ramp", out_.endpoints.ramp);
     read("first_ejection", out_.endpoints.first_ejection);
-    read("longest_ejection", out_.endpoints.longest_ejection);
+    read("longest_ejection", out_.endpoints.max_ejection);
     reader.finish();
     if (out_.state.config_lease < 2 * timing.poll_interval) {
       problems_.add(value, "timing.config_lease",
