--- a/config/include/trestlepost/config/objects.h
+++ b/config/include/trestlepost/config/objects.h
@@ -70,7 +70,9 @@
   selector services;
   selector requests;
   selector permit;  // over the labels of regions
-  selector home;    // over the labels of regions; the first match by name
+  /// Over the labels of regions. The home region is the first permitted match
+  /// in the order of names.
+  selector home;
   std::chrono::milliseconds away_penalty{0};
   transit_policy transit = transit_policy::allow;
 };
--- a/consensus/test/group_host-test.cc
+++ b/consensus/test/group_host-test.cc
@@ -59,7 +59,8 @@
   group_host& host(const std::string& name) { return *nodes_[name].host; }
   monotonic_time now() const { return now_; }
 
-  /// The node returns with an empty disk and requests to join at once.
+  /// Stops the node and replaces its disk by an empty one. After `start` it
+  /// requests to join at once.
   void lose_disk(const std::string& name) {
     node& it = nodes_[name];
     it.host.reset();
@@ -220,7 +221,8 @@
   EXPECT_TRUE(it.run([&] { return it.has_three_voters(); }));
 }
 
-TEST(group_host_test, a_recovered_leader_adds_nodes_that_asked_before) {
+TEST(group_host_test,
+     a_recovered_leader_adds_nodes_that_requested_to_join_before) {
   group it("c");
   for (const char* name : {"a", "b"}) it.lose_disk(name);
   for (const char* name : {"a", "b"}) it.start(name);
--- a/consensus/test/log_replay-test.cc
+++ b/consensus/test/log_replay-test.cc
@@ -42,7 +42,7 @@
   void send(const message& /*out*/) override {}
 };
 
-/// Keeps the whole log: no snapshot replaces it.
+/// Options with which the whole log is kept: no snapshot replaces it.
 group_options without_snapshots() {
   group_options out;
   out.snapshot_bytes = 2 * commands * command_bytes;
--- a/membership/test/region_digest-test.cc
+++ b/membership/test/region_digest-test.cc
@@ -319,9 +319,9 @@
       const std::string state =
           *rc::gen::element<std::string>("ready", "isolated", "draining");
       truth[{name, sequence}] = state;
-      const int heard_by = *rc::gen::inRange(1, 4);
+      const int received_by = *rc::gen::inRange(1, 4);
       for (int r = 0; r < 2; ++r) {
-        if ((heard_by & (1 << r)) == 0) continue;
+        if ((received_by & (1 << r)) == 0) continue;
         relays[r].table.observe(make_heartbeat(name, sequence, state), now);
       }
     } else if (what == 1) {
