--- a/config/include/trestlepost/config/change.h
+++ b/config/include/trestlepost/config/change.h
@@ -37,8 +37,8 @@
   std::string operator_name;
   wall_time at;
   std::vector<edit> edits;
-  /// If set, the change is rejected unless the configuration is at this
-  /// revision.
+  /// If set, a change of `edits` is rejected unless the configuration is at
+  /// this revision. Not checked for other changes.
   std::optional<revision_number> if_revision;
   std::optional<ledger_founding> founding;
   /// Replaces the traffic plan, unless the plan in force has the same or a
@@ -94,7 +94,7 @@
 /// Returns a digest of the operator's input. It distinguishes a resent change
 /// from another change with the same id. Base revisions of edits are not part
 /// of it, because a node may have filled them in; a plan is identified by the
-/// document that the operator sent.
+/// document that the operator sent, or by the edit of its document.
 std::string change_digest(const change& value);
 
 }  // namespace trestlepost::config
--- a/config/test/state_machine-test.cc
+++ b/config/test/state_machine-test.cc
@@ -110,7 +110,7 @@
   EXPECT_EQ(fresh.held_requests().size(), 1U);
 }
 
-TEST(config_state_machine_test, oldest_held_request_is_dropped_at_limit) {
+TEST(config_state_machine_test, oldest_held_request_is_released_at_limit) {
   object_store store;
   for (std::size_t n = 0; n <= max_held_requests; ++n) {
     const request_hold one{std::to_string(n), true, "s", ""};
@@ -137,9 +137,9 @@
 }
 
 TEST(config_state_machine_test, forgotten_change_id_applies_change_twice) {
-  state_limits broken;
-  broken.forget_change_ids = true;
-  state_machine_fixture it(broken);
+  state_limits faulty;
+  faulty.forget_change_ids = true;
+  state_machine_fixture it(faulty);
   const change requested = change_of("c1", {region_edit("isola")});
   it.apply(requested);
   it.apply(requested);
--- a/membership/test/directory-test.cc
+++ b/membership/test/directory-test.cc
@@ -46,7 +46,7 @@
   EXPECT_TRUE(entries_for_north(table, start).empty());
 }
 
-TEST(directory_test, a_silent_entry_is_left_out_if_another_one_is_live) {
+TEST(directory_test, a_silent_entry_is_omitted_if_another_one_is_live) {
   node_table table;
   table.observe(make_heartbeat("n1", "north", 1), start);
   const monotonic_time later = start + milliseconds(700);
--- a/membership/test/node_table-test.cc
+++ b/membership/test/node_table-test.cc
@@ -174,7 +174,7 @@
   it.confirm(start, start + milliseconds(100));
   EXPECT_TRUE(it.is_catching_up(start + milliseconds(200)));
   EXPECT_FALSE(it.is_catching_up(start + milliseconds(600)));
-  // A partition later on leaves nothing to wait for.
+  // A later partition does not make the node catch up again.
   it.tick(start + milliseconds(9000), true);
   EXPECT_FALSE(it.is_catching_up(start + milliseconds(9000)));
 }
--- a/membership/test/relay_selector-test.cc
+++ b/membership/test/relay_selector-test.cc
@@ -1,4 +1,4 @@
-// Tests of the choice of relays and of the heartbeat interval.
+// Tests of the selection of relays and of the heartbeat interval.
 #include "trestlepost/membership/relay_selector.h"
 
 #include <gtest/gtest.h>
@@ -28,39 +28,42 @@
 }
 
 TEST(relay_selector_test, an_unresponsive_relay_is_skipped_until_it_responds) {
-  relay_selector choice;
+  relay_selector selector;
   const monotonic_time start;
   const std::string first =
-      choice.choose("isola", nine_candidates(), unresponsive_after, start)
+      selector.choose("isola", nine_candidates(), unresponsive_after, start)
           .front();
-  choice.heartbeat_sent(first, start);
+  selector.heartbeat_sent(first, start);
   const monotonic_time early = start + unresponsive_after - milliseconds(1);
-  EXPECT_EQ(choice.choose("isola", nine_candidates(), unresponsive_after, early)
-                .front(),
-            first);
+  EXPECT_EQ(
+      selector.choose("isola", nine_candidates(), unresponsive_after, early)
+          .front(),
+      first);
   const monotonic_time late = start + unresponsive_after;
-  choice.heartbeat_sent(first, late);
+  selector.heartbeat_sent(first, late);
   for (const std::string& it :
-       choice.choose("isola", nine_candidates(), unresponsive_after, late)) {
+       selector.choose("isola", nine_candidates(), unresponsive_after, late)) {
     EXPECT_NE(it, first);
   }
-  choice.digest_received(first);
-  EXPECT_EQ(choice.choose("isola", nine_candidates(), unresponsive_after, late)
-                .front(),
-            first);
+  selector.digest_received(first);
+  EXPECT_EQ(
+      selector.choose("isola", nine_candidates(), unresponsive_after, late)
+          .front(),
+      first);
 }
 
 TEST(relay_selector_test, an_unresponsive_relay_is_tried_again) {
-  relay_selector choice;
+  relay_selector selector;
   const monotonic_time start;
   const std::string first =
-      choice.choose("isola", nine_candidates(), unresponsive_after, start)
+      selector.choose("isola", nine_candidates(), unresponsive_after, start)
           .front();
-  choice.heartbeat_sent(first, start);
+  selector.heartbeat_sent(first, start);
   const monotonic_time later = start + milliseconds(5000);
-  EXPECT_EQ(choice.choose("isola", nine_candidates(), unresponsive_after, later)
-                .front(),
-            first);
+  EXPECT_EQ(
+      selector.choose("isola", nine_candidates(), unresponsive_after, later)
+          .front(),
+      first);
 }
 
 TEST(relay_selector_test, a_control_node_comes_first_and_a_gateway_second) {
@@ -85,25 +88,25 @@
 }
 
 TEST(relay_selector_test, a_leaving_node_is_chosen_last) {
-  const relay_selector choice;
+  const relay_selector selector;
   const monotonic_time now;
   std::vector<relay_candidate> all = nine_candidates();
   const std::string first =
-      choice.choose("isola", all, unresponsive_after, now).front();
+      selector.choose("isola", all, unresponsive_after, now).front();
   for (relay_candidate& it : all) it.leaving = it.name == first;
   for (const std::string& it :
-       choice.choose("isola", all, unresponsive_after, now)) {
+       selector.choose("isola", all, unresponsive_after, now)) {
     EXPECT_NE(it, first);
   }
 }
 
 TEST(relay_selector_test,
      unresponsive_relays_are_chosen_if_there_are_no_others) {
-  relay_selector choice;
+  relay_selector selector;
   const monotonic_time start;
   for (const relay_candidate& it : nine_candidates())
-    choice.heartbeat_sent(it.name, start);
-  EXPECT_EQ(choice
+    selector.heartbeat_sent(it.name, start);
+  EXPECT_EQ(selector
                 .choose("isola", nine_candidates(), unresponsive_after,
                         start + unresponsive_after)
                 .size(),
