--- a/membership/src/endpoint_tracker.cc
+++ b/membership/src/endpoint_tracker.cc
@@ -15,8 +15,8 @@
 constexpr double limit_increase_step = 0.5;  // requests
 // Share of its limit that a returned endpoint starts with.
 constexpr double initial_ramp_share = 0.25;
-// Share of its limit that this gateway's requests must reach to raise the
-// limit.
+// Share of the limit that this gateway's requests must reach to raise the limit
+// above the endpoint's slots.
 constexpr double limit_increase_load = 0.9;
 
 }  // namespace
