--- a/config/include/trestlepost/config/objects.h
+++ b/config/include/trestlepost/config/objects.h
@@ -70,7 +70,9 @@
   selector services;
   selector requests;
   selector permit;  // over the labels of regions
-  selector home;    // over the labels of regions; the first match by name
+  /// Over the labels of regions. The home region is the first permitted match
+  /// in the order of names.
+  selector home;
   std::chrono::milliseconds away_penalty{0};
   transit_policy transit = transit_policy::allow;
 };
@@ -86,7 +88,7 @@
   unsigned share = 1;
 };
 
-// Each function reads one object and adds what is wrong with it to `problems`.
+// Each function reads one object and adds its validation errors to `problems`.
 region read_region(const json& spec, problem_list& problems);
 service read_service(const json& spec, problem_list& problems);
 endpoint read_endpoint(const json& spec, problem_list& problems);
--- a/membership/src/endpoint_tracker.cc
+++ b/membership/src/endpoint_tracker.cc
@@ -12,8 +12,11 @@
 // slots.
 constexpr double max_limit_per_slot = 1.25;
 constexpr double limit_decrease_factor = 0.9;
-constexpr double limit_increase_step = 0.5;
+constexpr double limit_increase_step = 0.5;  // requests
+// Share of its limit that a returned endpoint starts with.
 constexpr double initial_ramp_share = 0.25;
+// Share of the limit that this gateway's requests must reach to raise the limit
+// above the endpoint's slots.
 constexpr double limit_increase_load = 0.9;
 
 }  // namespace
@@ -100,7 +103,7 @@
   if (next != endpoint_states::ejected) return;
   constexpr unsigned max_doublings = 10;
   const std::chrono::milliseconds length = std::min(
-      options_.longest_ejection,
+      options_.max_ejection,
       options_.first_ejection * (1U << std::min(it.ejections, max_doublings)));
   ++it.ejections;
   it.failures = 0;
