--- a/gateway/src/route_forwarder.cc
+++ b/gateway/src/route_forwarder.cc
@@ -71,8 +71,8 @@
     acceptance_.record_accepted(place, context_.clock.now());
 }
 
-double route_forwarder::accept_probability(
-    const std::string& region, const std::string& service) const {
+double route_forwarder::accept_probability(const std::string& region,
+                                           const std::string& service) const {
   return acceptance_.acceptance_probability(region + "/" + service,
                                             context_.clock.now());
 }
