--- a/config/include/trestlepost/config/objects.h
+++ b/config/include/trestlepost/config/objects.h
@@ -60,6 +60,7 @@
   bool drained = false;  // takes no new requests
 };
 
+/// Whether a region that may not serve a request may forward it.
 enum class transit_policy { allow, refuse };
 
 /// The regions that may serve the requests that match the rule.
@@ -71,6 +72,7 @@
   selector requests;
   selector permit;  // over the labels of regions
   selector home;    // over the labels of regions; the first match by name
+  /// Added to the routing cost of regions other than the home region.
   std::chrono::milliseconds away_penalty{0};
   transit_policy transit = transit_policy::allow;
 };
@@ -79,7 +81,7 @@
 struct caller {
   std::string name;
   label_map labels;
-  std::string token_sha256;
+  std::string token_sha256;  // lower-case hexadecimal
   /// Labels that a request of this caller may carry, with the allowed values.
   std::map<std::string, std::vector<std::string>> request_labels;
   /// Weight among the callers that are queued for the same service.
--- a/config/test/growth_simulation-test.cc
+++ b/config/test/growth_simulation-test.cc
@@ -12,11 +12,11 @@
 namespace trestlepost::config::test {
 namespace {
 
-constexpr std::uint64_t seeds_for_broken_mechanisms = 150;
+constexpr std::uint64_t seeds_per_injected_fault = 150;
 
 /// Whether a run with `options` violates `property` for at least one seed.
 bool is_detected_by(const std::string& property, growth_options options) {
-  for (std::uint64_t seed = 1; seed <= seeds_for_broken_mechanisms; ++seed) {
+  for (std::uint64_t seed = 1; seed <= seeds_per_injected_fault; ++seed) {
     options.seed = seed;
     if (simulate_growth(options).violated(property)) return true;
   }
--- a/config/test/plan_delta-test.cc
+++ b/config/test/plan_delta-test.cc
@@ -80,9 +80,9 @@
   traffic_plan next = plan_of(2, 4000);
   next.routes[17].timeout = milliseconds(77);
   machine.apply(entry_of(next));
-  constexpr std::size_t most_bytes = 2000;
+  constexpr std::size_t max_bytes = 2000;
   const watch_update update = machine.update_since(1);
-  EXPECT_LT(to_text(to_json(update)).size(), most_bytes);
+  EXPECT_LT(to_text(to_json(update)).size(), max_bytes);
   object_store watcher;
   ASSERT_TRUE(apply_update(watcher, machine.update_since(0)));
   EXPECT_EQ(watcher.plan()->routes, next.routes);
--- a/config/test/plan_edit-test.cc
+++ b/config/test/plan_edit-test.cc
@@ -110,12 +110,12 @@
 // Guards against log entries, and event loop iterations of the leader, whose
 // size and duration grow with the whole plan.
 TEST(plan_edit_test, small_change_of_large_plan_is_small_entry) {
-  constexpr std::size_t most_bytes = 2000;
+  constexpr std::size_t max_bytes = 2000;
   const traffic_plan before = plan_of(1, 6000);
   traffic_plan after = plan_of(2, 6000);
-  EXPECT_LT(encode_change(edit_of(&before, after)).size(), most_bytes);
+  EXPECT_LT(encode_change(edit_of(&before, after)).size(), max_bytes);
   after.routes[17].attempts = 3;
-  EXPECT_LT(encode_change(edit_of(&before, after)).size(), most_bytes);
+  EXPECT_LT(encode_change(edit_of(&before, after)).size(), max_bytes);
 }
 
 TEST(plan_edit_test, snapshot_contains_base_of_next_edit) {
