--- a/config/include/trestlepost/config/objects.h
+++ b/config/include/trestlepost/config/objects.h
@@ -60,6 +60,7 @@
   bool drained = false;  // takes no new requests
 };
 
+/// Whether a region that may not serve a request may forward it.
 enum class transit_policy { allow, refuse };
 
 /// The regions that may serve the requests that match the rule.
@@ -70,9 +71,8 @@
   selector services;
   selector requests;
   selector permit;  // over the labels of regions
-  /// Over the labels of regions. The home region is the first permitted match
-  /// in the order of names.
-  selector home;
+  selector home;    // over the labels of regions; the first match by name
+  /// Added to the routing cost of regions other than the home region.
   std::chrono::milliseconds away_penalty{0};
   transit_policy transit = transit_policy::allow;
 };
@@ -81,14 +81,14 @@
 struct caller {
   std::string name;
   label_map labels;
-  std::string token_sha256;
+  std::string token_sha256;  // lower-case hexadecimal
   /// Labels that a request of this caller may carry, with the allowed values.
   std::map<std::string, std::vector<std::string>> request_labels;
   /// Weight among the callers that are queued for the same service.
   unsigned share = 1;
 };
 
-// Each function reads one object and adds its validation errors to `problems`.
+// Each function reads one object and adds what is wrong with it to `problems`.
 region read_region(const json& spec, problem_list& problems);
 service read_service(const json& spec, problem_list& problems);
 endpoint read_endpoint(const json& spec, problem_list& problems);
