--- a/transport/src/rpc.cc
+++ b/transport/src/rpc.cc
@@ -35,8 +35,8 @@
                                                static_cast<void*>(nullptr)));
   }
 
-  void add(const std::string& name, rpc_notification handler) {
-    notifications_[name] = std::move(handler);
+  void add(const std::string& name, rpc_notification notification) {
+    notifications_[name] = std::move(notification);
     protocol_->AddProcedure(jsonrpc::Procedure(name, jsonrpc::PARAMS_BY_NAME,
                                                static_cast<void*>(nullptr)));
   }
