--- a/config/include/trestlepost/config/objects.h
+++ b/config/include/trestlepost/config/objects.h
@@ -42,7 +42,7 @@
   /// Whether status 503 from an endpoint guarantees that the request did not
   /// run.
   bool refusal_means_not_run = false;
-  /// Time limit for the complete answer, unless the request sets one.
+  /// Timeout for the complete answer, unless the request sets one.
   std::chrono::milliseconds timeout{30000};
   /// How long the outcome of a request with an idempotency key is kept.
   std::chrono::milliseconds key_window{86400000};
--- a/config/include/trestlepost/config/traffic_plan.h
+++ b/config/include/trestlepost/config/traffic_plan.h
@@ -42,7 +42,7 @@
   std::string host;
   std::string path_prefix;  // begins and ends with '/'
   route_kind kind = route_kind::run_once;
-  /// Time limit for a request.
+  /// Timeout for a request.
   std::chrono::milliseconds timeout{30'000};
   /// Target latency of the answer (of a stream: of its first event).
   std::chrono::milliseconds latency_objective{0};
@@ -97,7 +97,7 @@
   bool operator==(const planned_service&) const = default;
 };
 
-/// Size and time limits for requests of callers.
+/// Size limits and timeouts for requests of callers.
 struct request_limits {
   std::size_t header_bytes = 16UL * 1024;
   std::size_t body_bytes = 8UL * 1024 * 1024;
--- a/consensus/include/trestlepost/consensus/group_formation.h
+++ b/consensus/include/trestlepost/consensus/group_formation.h
@@ -44,7 +44,7 @@
   bool handle_join(group_host& host, monotonic_time now,
                    const replica_id& joiner, const std::string& address);
   /// Whether a group that has acknowledged no change yet has `min_voters`
-  /// voters, or has waited for them up to the time limit.
+  /// voters, or the timeout of the wait for them has expired.
   bool is_formed(const group_host& host, monotonic_time now,
                  std::size_t min_voters) const;
   /// Start of this replica's current leadership.
--- a/node/src/endpoint_list_service.cc
+++ b/node/src/endpoint_list_service.cc
@@ -18,7 +18,7 @@
 using surface::listed_endpoint;
 using transport::awaitable;
 
-// Time limit for reading one page of the list.
+// Timeout for reading one page of the list.
 constexpr milliseconds read_timeout{1000};
 constexpr std::size_t max_page_bytes = 4UL * 1024 * 1024;
 constexpr unsigned ok_status = 200;
--- a/node/src/group_orders.h
+++ b/node/src/group_orders.h
@@ -30,8 +30,8 @@
   void read(const answer_function& answer);
   /// Answers the pending reads whose log index this node has applied.
   void complete_reads();
-  /// Acknowledges the plans that all watchers have, or whose time limit for the
-  /// confirmation has passed.
+  /// Acknowledges the plans that all watchers have, or whose confirmation
+  /// timeout has expired.
   void acknowledge_confirmed();
 
  private:
@@ -63,7 +63,7 @@
   std::vector<unconfirmed_plan> unconfirmed_;
   std::vector<pending_read> pending_reads_;
   /// The newest revision created by a plan, and when it was decided. A resent
-  /// plan shares the time limit of its first submission.
+  /// plan shares the confirmation deadline of its first submission.
   config::revision_number newest_revision_ = 0;
   monotonic_time newest_decided_at_;
 };
--- a/node/src/order_handler.cc
+++ b/node/src/order_handler.cc
@@ -15,7 +15,7 @@
 using transport::awaitable;
 using transport::http_response;
 
-// Time limit for an answer. Operators try another node after 1 s, so a later
+// Timeout for an answer. Operators try another node after 1 s, so a later
 // answer is useless.
 constexpr milliseconds answer_timeout{900};
 
--- a/node/src/peer_calls.cc
+++ b/node/src/peer_calls.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr char answer_method[] = "call.answer";
-// Time limit for an answer; longer than any order waits for its result.
+// Timeout for an answer; longer than any order waits for its result.
 constexpr std::chrono::milliseconds call_timeout{2000};
 
 }  // namespace
--- a/routing/test/crash_simulation.h
+++ b/routing/test/crash_simulation.h
@@ -15,7 +15,7 @@
 
 namespace trestlepost::routing::test {
 
-/// Parameters of one simulated deployment and its disturbances.
+/// Parameters of one simulated deployment and its faults.
 struct crash_scenario {
   std::uint64_t seed = 1;
   int gateways = 12;
--- a/transport/test/http-test.cc
+++ b/transport/test/http-test.cc
@@ -99,7 +99,7 @@
   }
 
   /// Sends raw bytes and returns the response, with "(open)" if the server does
-  /// not close the connection within the time limit.
+  /// not close the connection before the timeout.
   std::string send_raw(const std::string& bytes) {
     tcp::socket socket(context_);
     socket.connect(*parse_address(address));
